--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -10,7 +10,7 @@
 use anyhow::bail;
 use serde::Deserialize;
 
-use crate::policy::{Policy, Steering};
+use crate::policy::{BalancerPolicy, Policy};
 
 /// Default size, in KiB, from which on the configuration is handed on in
 /// parts: some 1,000 routes. At 15,000 changes a day for 2,200 routes, 1,000
@@ -176,8 +176,8 @@
 
     /// What a balancer on this VM goes by.
     #[must_use]
-    pub fn steering(&self) -> Steering {
-        self.policy.steer.clone().fit(self.link_mbps, self.cpu_share)
+    pub fn steering(&self) -> BalancerPolicy {
+        self.policy.balancer.clone().scaled_to_vm(self.link_mbps, self.cpu_share)
     }
 
     /// Longest planned stop.
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -103,7 +103,7 @@
     let service = settings.service.clone().with_context(missing("service"))?;
     let wires = Wires::bind(&settings).await?;
     let holder =
-        Holder::new(service.clone(), settings.flow_life()).policy(settings.policy.hold.clone());
+        Holder::new(service.clone(), settings.flow_life()).policy(settings.policy.agent.clone());
     let holder = Rc::new(RefCell::new(holder));
     let inspect = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
--- a/src/experiment/variant.rs
+++ b/src/experiment/variant.rs
@@ -25,7 +25,7 @@
     #[must_use]
     pub fn without(mechanism: Mechanism) -> Self {
         let mut policy = Policy::default();
-        mechanism.switch_off(&mut policy);
+        mechanism.disable(&mut policy);
         Self { name: format!("without {mechanism}"), policy }
     }
 
--- a/src/hold/life.rs
+++ b/src/hold/life.rs
@@ -71,11 +71,11 @@
     pub fn gone(&mut self, start: &Start, now: Instant) -> bool {
         let Some(current) = self.target.as_ref().map(Target::start) else { return false };
         if current == start {
-            self.ending = Some(now + self.policy.ending);
+            self.ending = Some(now + self.policy.shutdown_grace);
             return true;
         }
         if current.id == start.id && start.born.is_none() {
-            self.expect(self.policy.ending, now);
+            self.expect(self.policy.shutdown_grace, now);
         }
         false
     }
@@ -89,7 +89,7 @@
     /// Without it, agents and balancers rolled out in turn lose the requests of
     /// the flows that both have forgotten.
     pub fn hand_over(&self, me: SocketAddrV4, out: &mut impl Out) {
-        if !self.policy.hints || self.absent {
+        if !self.policy.hints_enabled || self.absent {
             return;
         }
         let open = self.flows.iter().filter(|(_, h)| h.stage == Stage::Open);
@@ -148,7 +148,7 @@
 
     /// The target's port is open: it is slow, not gone.
     pub fn slow(&mut self, now: Instant) {
-        self.silent_since = Some(now + self.policy.silent_work);
+        self.silent_since = Some(now + self.policy.request_probe_delay);
     }
 
     /// Something was handed to the target that it answers within `within`.
@@ -176,7 +176,7 @@
             && h.stage != Stage::Closed
         {
             h.stage = Stage::Closed;
-            self.ended.push_back((now + self.policy.closed, flow));
+            self.ended.push_back((now + self.policy.closed_ttl, flow));
         }
         self.wait(flow, false, now);
     }
@@ -213,7 +213,7 @@
         }
         while let Some(flow) = due(&mut self.working, now) {
             let since = self.flows.peek(flow).and_then(|h| h.waiting);
-            if since.is_some_and(|at| now.duration_since(at) >= self.policy.longest_work) {
+            if since.is_some_and(|at| now.duration_since(at) >= self.policy.request_timeout) {
                 self.wait(flow, false, now);
             }
         }
--- a/src/hold/mod.rs
+++ b/src/hold/mod.rs
@@ -27,7 +27,7 @@
 use crate::events;
 use crate::flow::{Arrival, Flow, Segment, Table};
 use crate::metrics::{self, Refusal, Retry};
-use crate::policy::Holding;
+use crate::policy::AgentPolicy;
 use crate::wire::Offer;
 
 /// Where notes go that nobody waits for.
@@ -57,7 +57,7 @@
     target: Option<Target>,
     before: Option<Predecessor>,
     flows: Table<Held>,
-    policy: Holding,
+    policy: AgentPolicy,
     /// Agents to which opens were passed on, and those that balancers or stopping
     /// agents named, this one among them: what it says when asked for the flow.
     hints: Table<SocketAddrV4>,
@@ -106,7 +106,7 @@
             target: None,
             before: None,
             flows: Table::new(idle),
-            policy: Holding::default(),
+            policy: AgentPolicy::default(),
             hints: Table::new(idle),
             peer: None,
             waiting: 0,
@@ -129,7 +129,7 @@
 
     /// The agent with another policy.
     #[must_use]
-    pub fn policy(mut self, policy: Holding) -> Self {
+    pub fn policy(mut self, policy: AgentPolicy) -> Self {
         self.policy = policy;
         self
     }
--- a/src/hold/opens.rs
+++ b/src/hold/opens.rs
@@ -24,7 +24,8 @@
 
     /// Whether some balancers may not have seen the agent yet.
     fn unseen(&self, now: Instant) -> bool {
-        self.newcomer && self.met.is_none_or(|at| now.duration_since(at) < self.policy.seen)
+        self.newcomer
+            && self.met.is_none_or(|at| now.duration_since(at) < self.policy.announce_delay)
     }
 
     pub(super) fn full(&self, now: Instant) -> bool {
@@ -36,7 +37,7 @@
         if self.full(now) {
             return Admit::Refuse(Refusal::Full);
         }
-        let queue = if open.aged { self.policy.aged_queue } else { self.policy.queue };
+        let queue = if open.aged { self.policy.aged_queue_ratio } else { self.policy.queue_ratio };
         let slots = f64::from(t.slots());
         if f64::from(self.waiting) >= slots + slots * queue {
             return Admit::Refuse(Refusal::Busy);
@@ -82,7 +83,7 @@
 
     /// Remembers to which agent an open is passed on.
     pub(super) fn hint(&mut self, flow: Flow, offer: Offer, now: Instant) {
-        if self.policy.hints {
+        if self.policy.hints_enabled {
             self.hints.insert(flow, offer.to(), now);
         }
     }
@@ -104,9 +105,9 @@
         let held = Held { reply: Some(open.reply), other, ..Held::new(stage, came.seg.seq) };
         self.flows.insert(flow, held, now);
         self.wait(flow, true, now);
-        self.opens.push_back((now + self.policy.open_wait, flow));
-        self.unanswered.push_back((now + self.policy.open_kept, flow));
-        self.expect(self.policy.silent_open, now);
+        self.opens.push_back((now + self.policy.handshake_timeout, flow));
+        self.unanswered.push_back((now + self.policy.open_ttl, flow));
+        self.expect(self.policy.open_probe_delay, now);
         out.target(came.packet);
     }
 
--- a/src/hold/packets.rs
+++ b/src/hold/packets.rs
@@ -77,8 +77,8 @@
         let over = seg.flags.rst || h.over();
         if h.takes_data(seg) {
             self.wait(flow, true, now);
-            self.working.push_back((now + self.policy.longest_work, flow));
-            self.expect(self.policy.silent_work, now);
+            self.working.push_back((now + self.policy.request_timeout, flow));
+            self.expect(self.policy.request_probe_delay, now);
         }
         if over {
             self.close(flow, now);
@@ -160,7 +160,7 @@
         let service = self.service.clone();
         let open = Open { service: &service, max_flows, aged, offer, reply };
         metrics::retried(Retry::Bounced);
-        self.full_until = Some(now + self.policy.full);
+        self.full_until = Some(now + self.policy.full_pause);
         self.expect(Duration::ZERO, now);
         match give_back(offer) {
             Step::Pass(on) => {
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -110,13 +110,14 @@
     }
 
     pub(super) fn steer(&self, n: usize, zone: u8) -> Steer {
-        let policy = self.policy.steer.clone().fit(self.site.link_mbps, self.site.balancer_cpu);
+        let policy =
+            self.policy.balancer.clone().scaled_to_vm(self.site.link_mbps, self.site.balancer_cpu);
         Steer::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60)).policy(policy)
     }
 
     pub(super) fn holder(&self, service: usize) -> Holder {
         let name = self.site.services[service].name.into();
-        Holder::new(name, Duration::from_secs(60)).policy(self.policy.hold.clone())
+        Holder::new(name, Duration::from_secs(60)).policy(self.policy.agent.clone())
     }
 
     pub(super) fn report(&self, service: usize, boot: u64, seq: u64) -> Report {
--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -59,24 +59,26 @@
 
 impl Mechanism {
     /// Switches it off in `policy`.
-    pub fn switch_off(self, policy: &mut Policy) {
-        let (steer, hold) = (&mut policy.steer, &mut policy.hold);
+    pub fn disable(self, policy: &mut Policy) {
+        let (balancer, agent) = (&mut policy.balancer, &mut policy.agent);
         match self {
-            Self::Waves => steer.waves.clear(),
-            Self::Hints => (steer.hints, hold.hints) = (false, false),
-            Self::AskBudget => (steer.asks, steer.ask_burst) = (UNBOUNDED, UNBOUNDED),
-            Self::RetryBudget => (steer.retry_burst, steer.retry_rate) = (UNBOUNDED, UNBOUNDED),
-            Self::Backoff => steer.slowest = steer.answer,
-            Self::ShortQueue => (hold.queue, hold.aged_queue) = (1e5, 1e5),
-            Self::Aging => hold.aged_queue = hold.queue,
-            Self::Patience => steer.patience = Duration::ZERO,
-            Self::Parking => steer.parked = 0,
-            Self::Keeping => (steer.kept_packets, steer.kept_bytes) = (1, 0),
-            Self::Trials => steer.trials = 0,
-            Self::RestartWait => steer.restart = Duration::ZERO,
-            Self::FullPause => hold.full = Duration::ZERO,
-            Self::ShortOpenWait => hold.open_wait = hold.open_kept,
-            Self::NewcomerWait => hold.seen = Duration::ZERO,
+            Self::Waves => balancer.wave_sizes.clear(),
+            Self::Hints => (balancer.hints_enabled, agent.hints_enabled) = (false, false),
+            Self::AskBudget => (balancer.query_rate, balancer.query_burst) = (UNBOUNDED, UNBOUNDED),
+            Self::RetryBudget => {
+                (balancer.retry_burst, balancer.retry_rate) = (UNBOUNDED, UNBOUNDED)
+            }
+            Self::Backoff => balancer.max_timeout = balancer.min_timeout,
+            Self::ShortQueue => (agent.queue_ratio, agent.aged_queue_ratio) = (1e5, 1e5),
+            Self::Aging => agent.aged_queue_ratio = agent.queue_ratio,
+            Self::Patience => balancer.open_timeout = Duration::ZERO,
+            Self::Parking => balancer.max_parked = 0,
+            Self::Keeping => (balancer.buffer_packets, balancer.buffer_bytes) = (1, 0),
+            Self::Trials => balancer.max_trials = 0,
+            Self::RestartWait => balancer.restart_wait = Duration::ZERO,
+            Self::FullPause => agent.full_pause = Duration::ZERO,
+            Self::ShortOpenWait => agent.handshake_timeout = agent.open_ttl,
+            Self::NewcomerWait => agent.announce_delay = Duration::ZERO,
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,27 +1,29 @@
 //! Every figure and mechanism that decides under load and trouble, in one
-//! place: what a balancer ([`Steering`]) and an agent ([`Holding`]) go by.
+//! place: what a balancer ([`BalancerPolicy`]) and an agent ([`AgentPolicy`]) go by.
 //!
 //! All have defaults, so that settings name only what differs; each can be
 //! varied alone, which is how `jujubepost experiment` measures its worth.
 
-mod holding;
+mod agent;
+mod balancer;
 mod mechanism;
 mod millis;
-mod steering;
 
-pub use holding::Holding;
+pub use agent::AgentPolicy;
+pub use balancer::{BalancerPolicy, SuspicionPolicy};
 pub use mechanism::Mechanism;
 use serde::{Deserialize, Serialize};
-pub use steering::{Steering, Suspicion};
 
 /// What both go by.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
     /// A balancer's decisions.
-    pub steer: Steering,
+    #[serde(rename = "steer")]
+    pub balancer: BalancerPolicy,
     /// An agent's decisions.
-    pub hold: Holding,
+    #[serde(rename = "hold")]
+    pub agent: AgentPolicy,
 }
 
 impl Policy {
@@ -31,7 +33,7 @@
     ///
     /// Names the first field that does not.
     pub fn check(&self) -> anyhow::Result<()> {
-        self.steer.check()?;
-        self.hold.check()
+        self.balancer.check()?;
+        self.agent.check()
     }
 }
--- a/src/steer/mod.rs
+++ b/src/steer/mod.rs
@@ -10,7 +10,7 @@
 //! - What a balancer remembers of flows is a cache; the truth is at the agents.
 //!
 //! All that grows with trouble has a budget: further offers of opens, questions
-//! to agents, packets kept ([`Steering`]).
+//! to agents, packets kept ([`BalancerPolicy`]).
 
 mod opens;
 mod owner;
@@ -40,7 +40,7 @@
 use crate::events;
 use crate::flow::{Arrival, Flow, Segment, Table};
 use crate::metrics::{self, Refusal};
-use crate::policy::Steering;
+use crate::policy::BalancerPolicy;
 
 /// What a balancer sends.
 pub trait Out {
@@ -61,7 +61,7 @@
     pub roster: Roster,
     flows: Table<FlowState>,
     due: DueQueue,
-    policy: Steering,
+    policy: BalancerPolicy,
     queries: Queries,
     /// How long agents take to answer.
     rtt: Rtt,
@@ -89,7 +89,7 @@
             roster: Roster::default(),
             flows: Table::new(idle),
             due: DueQueue::default(),
-            policy: Steering::default(),
+            policy: BalancerPolicy::default(),
             queries: Queries::new(0.0, 0.0),
             rtt: Rtt::default(),
             retries: Bucket::new(0.0),
@@ -99,13 +99,13 @@
             unpark_at: None,
             stopping: false,
         }
-        .policy(Steering::default())
+        .policy(BalancerPolicy::default())
     }
 
     /// The balancer with another policy.
     #[must_use]
-    pub fn policy(mut self, policy: Steering) -> Self {
-        self.queries = Queries::new(policy.asks, policy.ask_burst);
+    pub fn policy(mut self, policy: BalancerPolicy) -> Self {
+        self.queries = Queries::new(policy.query_rate, policy.query_burst);
         self.retries = Bucket::new(policy.retry_burst);
         self.roster = Roster::new(policy.suspicion.clone());
         self.policy = policy;
@@ -246,7 +246,7 @@
     /// open on to it: whoever asks for the flow asks its home first.
     fn tell_home(&self, owner: SocketAddrV4, flow: Flow, o: &Opening, out: &mut impl Out) {
         let home = self.roster.home(&o.service, &self.zone, flow);
-        let Some(home) = home.filter(|h| *h != owner && self.policy.hints) else { return };
+        let Some(home) = home.filter(|h| *h != owner && self.policy.hints_enabled) else { return };
         let passed = o.offered.iter().rev().nth(1) == Some(&home);
         if !passed {
             out.agent(home, &Message::Hint { flow, agent: owner }, &[]);
@@ -255,7 +255,7 @@
 
     /// After how long an answer of an agent is taken as missing.
     fn answer_time(&self) -> Duration {
-        self.rtt.timeout(self.policy.answer, self.policy.slowest)
+        self.rtt.timeout(self.policy.min_timeout, self.policy.max_timeout)
     }
 
     /// What the balancer believes, as JSON: the configuration's version, the
@@ -335,11 +335,11 @@
 
     /// Keeps a packet that came before any configuration was known.
     fn park(&mut self, came: &Arrival<'_>) {
-        if self.parked.len() >= self.policy.parked {
+        if self.parked.len() >= self.policy.max_parked {
             metrics::refused(Refusal::NoConfig);
             self.parked.pop_front();
         }
-        self.unpark_at.get_or_insert(came.now + self.policy.unpark);
+        self.unpark_at.get_or_insert(came.now + self.policy.unpark_interval);
         let (seg, packet) = (*came.seg, came.packet.to_vec());
         self.parked.push_back(Parked { since: came.now, seg, packet });
     }
@@ -348,11 +348,11 @@
     /// callers have sent a copy or given up since are dropped.
     fn unpark(&mut self, now: Instant, out: &mut impl Out) {
         if self.routes.is_none() {
-            self.unpark_at = Some(now + self.policy.unpark);
+            self.unpark_at = Some(now + self.policy.unpark_interval);
             return;
         }
         for p in std::mem::take(&mut self.parked) {
-            if now.duration_since(p.since) < self.policy.patience {
+            if now.duration_since(p.since) < self.policy.open_timeout {
                 self.packet(&p.seg, &p.packet, now, out);
             }
         }
--- a/src/steer/opens.rs
+++ b/src/steer/opens.rs
@@ -18,7 +18,7 @@
             refuse(flow, Refusal::NoProfile, out);
             return;
         };
-        let patience = self.policy.patience.min(route.limit / 2);
+        let patience = self.policy.open_timeout.min(route.limit / 2);
         let mut opening = Opening::new(share, seq, came.packet, now, patience);
         let mut before = None;
         match self.flows.remove(flow) {
@@ -30,7 +30,7 @@
             Some(known @ FlowState::Search(_)) => self.kept -= known.kept(),
             _ => {}
         }
-        self.retries.add(self.policy.retry_share);
+        self.retries.add(self.policy.retry_ratio);
         // A copy goes where the first went, if that agent answers: a second
         // target would only answer a handshake that is thrown away.
         let before = before.filter(|a| self.roster.answers(*a));
@@ -46,7 +46,7 @@
 
     /// Lets an open rest until the next round of offers; the pauses grow.
     pub(super) fn rest(&mut self, flow: Flow, opening: &mut Opening, now: Instant) {
-        let pause = grown(self.policy.round, opening.rounds, self.policy.longest_round);
+        let pause = grown(self.policy.retry_delay, opening.rounds, self.policy.max_retry_delay);
         opening.offered.clear();
         opening.rounds += 1;
         opening.resting = true;
@@ -56,7 +56,7 @@
 
     /// Whether an agent that is not in the roster can be taken as gone.
     pub(super) fn roster_current(&self, now: Instant) -> bool {
-        self.sees_since.is_some_and(|at| now.duration_since(at) >= self.policy.relisted)
+        self.sees_since.is_some_and(|at| now.duration_since(at) >= self.policy.relist_grace)
     }
 
     /// Offers an open to the next two agents; `first` names the first of them
@@ -76,7 +76,7 @@
         let open = Open {
             service: &opening.service,
             max_flows: opening.max_flows,
-            aged: now.duration_since(opening.since) >= self.policy.aged,
+            aged: now.duration_since(opening.since) >= self.policy.aged_after,
             offer: Offer { first, second, stage },
             reply: self.me,
         };
@@ -85,7 +85,7 @@
         opening.offered.extend(second);
         opening.asked = now;
         opening.resting = false;
-        opening.due = now + grown(self.answer_time(), opening.unanswered, self.policy.slowest);
+        opening.due = now + grown(self.answer_time(), opening.unanswered, self.policy.max_timeout);
         self.due.put(opening.due, flow);
         true
     }
@@ -105,8 +105,11 @@
         o.inconclusive |= matches!(reason, Refusal::NoTarget | Refusal::Busy);
         let Some(FlowState::Opening(mut opening)) = self.flows.remove(flow) else { return };
         self.rtt.note(now.duration_since(opening.asked));
-        let most =
-            if reason == Refusal::Busy { self.policy.busy_offers } else { self.policy.most_offers };
+        let most = if reason == Refusal::Busy {
+            self.policy.max_busy_offers
+        } else {
+            self.policy.max_offers
+        };
         let more = opening.offered.len() < most;
         if more && self.offer(flow, &mut opening, None, now, out) {
             self.flows.insert(flow, FlowState::Opening(opening), now);
--- a/src/steer/owner.rs
+++ b/src/steer/owner.rs
@@ -78,7 +78,7 @@
 
     /// Queries the next agents of a round.
     fn ask_wave(&mut self, flow: Flow, search: &mut Search, now: Instant) {
-        let wave = search.next_wave(&self.policy.waves);
+        let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
             self.queries.put(*agent, &search.service, search.question(flow));
         }
--- a/src/steer/resolve.rs
+++ b/src/steer/resolve.rs
@@ -30,7 +30,7 @@
     /// every search until it is over.
     fn unreachable(&self, agent: SocketAddrV4, now: Instant) -> bool {
         let left = self.sees_since.is_some() && self.roster.left(agent);
-        left || self.roster.silent_for(agent, self.policy.restart, now)
+        left || self.roster.silent_for(agent, self.policy.restart_wait, now)
     }
 
     /// Ends the round: the flow is lost, or targets are tried.
@@ -63,7 +63,7 @@
     /// The agent that is named as the flow's owner may have forgotten it: has it
     /// try its target at once, without waiting for what others say.
     pub(super) fn try_named(&mut self, flow: Flow, out: &mut impl Out) {
-        let most = self.policy.trials;
+        let most = self.policy.max_trials;
         let Some(FlowState::Search(s)) = self.flows.peek_mut(flow) else { return };
         let fresh = |a: &SocketAddrV4| s.unverified.contains(a) && !s.tried.contains(a);
         let Some(named) = s.named.filter(fresh) else { return };
@@ -81,7 +81,7 @@
     /// every agent of the service answered or has left, and the list of them is
     /// current.
     fn try_unverified(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
-        let trials = self.policy.trials;
+        let trials = self.policy.max_trials;
         let Some(FlowState::Search(s)) = self.flows.peek(flow) else { return };
         if s.trial.is_some_and(|a| s.unverified.contains(&a)) {
             return;
--- a/src/steer/roster.rs
+++ b/src/steer/roster.rs
@@ -19,7 +19,7 @@
 use crate::bus::{FlowStatus, Message};
 use crate::flow::Flow;
 use crate::hold::Start;
-use crate::policy::Suspicion;
+use crate::policy::SuspicionPolicy;
 
 /// An agent as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
 /// The agents by address and by service.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    suspicion: Suspicion,
+    suspicion: SuspicionPolicy,
     /// In the order of their addresses, so that questions go out in one order.
     agents: BTreeMap<SocketAddrV4, Agent>,
     services: HashMap<Arc<str>, Vec<SocketAddrV4>>,
@@ -104,16 +104,16 @@
 
 impl Default for Roster {
     fn default() -> Self {
-        Self::new(Suspicion::default())
+        Self::new(SuspicionPolicy::default())
     }
 }
 
 impl Roster {
     /// No agents yet; they are suspected as `suspicion` says.
     #[must_use]
-    pub fn new(suspicion: Suspicion) -> Self {
+    pub fn new(suspicion: SuspicionPolicy) -> Self {
         // What comes in between two looks must not be lost.
-        let burst = f64::from(suspicion.pings) * 2.0 * TURN.as_secs_f64();
+        let burst = f64::from(suspicion.ping_rate) * 2.0 * TURN.as_secs_f64();
         Self {
             suspicion,
             agents: BTreeMap::new(),
@@ -324,7 +324,7 @@
     /// An agent did not answer in time.
     pub fn missed(&mut self, addr: SocketAddrV4, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr)
-            && now.duration_since(a.heard) >= self.suspicion.heard
+            && now.duration_since(a.heard) >= self.suspicion.silence_grace
         {
             a.silent.get_or_insert(now);
             self.due.get_or_insert(now);
@@ -352,7 +352,7 @@
         now: Instant,
     ) -> Option<(SocketAddrV4, Option<SocketAddrV4>)> {
         let left: Vec<SocketAddrV4> = self.of(service).filter(|a| !except.contains(a)).collect();
-        let able = |a: &SocketAddrV4| self.agents[a].able(self.suspicion.unable, now);
+        let able = |a: &SocketAddrV4| self.agents[a].able(self.suspicion.unable_ttl, now);
         let near = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
         let first = first
             .or_else(|| preferred(&left, flow, |a| able(a) && near(a)))
@@ -402,14 +402,14 @@
         let dropped: Vec<SocketAddrV4> = self
             .agents
             .iter()
-            .filter(|(_, a)| !a.kept(self.suspicion.keep, now))
+            .filter(|(_, a)| !a.kept(self.suspicion.unlisted_timeout, now))
             .map(|(addr, _)| *addr)
             .collect();
         for addr in dropped {
             self.remove(addr);
         }
-        self.pings.fill(self.suspicion.pings.into(), now);
-        let pause = self.suspicion.ping;
+        self.pings.fill(self.suspicion.ping_rate.into(), now);
+        let pause = self.suspicion.ping_interval;
         let due = |a: &Agent| a.pinged.is_none_or(|at| now.duration_since(at) >= pause);
         let mut waiting: Vec<_> =
             self.agents.iter_mut().filter(|(_, a)| a.is_suspected() && due(a)).collect();
--- a/src/steer/search.rs
+++ b/src/steer/search.rs
@@ -10,7 +10,7 @@
 use crate::bus::{FlowStatus, Message, Mode, Question};
 use crate::flow::{Flow, Segment};
 use crate::metrics;
-use crate::policy::Steering;
+use crate::policy::BalancerPolicy;
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
@@ -111,11 +111,17 @@
 
     /// Keeps a packet of the flow, if `policy` has room for it beside the `others`
     /// bytes kept for other flows.
-    pub(super) fn keep(&mut self, seg: &Segment, packet: &[u8], others: usize, policy: &Steering) {
+    pub(super) fn keep(
+        &mut self,
+        seg: &Segment,
+        packet: &[u8],
+        others: usize,
+        policy: &BalancerPolicy,
+    ) {
         self.acked = seg.flags.ack;
         self.ack = seg.ack;
-        let room = others + self.bytes() + packet.len() <= policy.kept_bytes;
-        if self.packets.is_empty() || room && self.packets.len() < policy.kept_packets {
+        let room = others + self.bytes() + packet.len() <= policy.buffer_bytes;
+        if self.packets.is_empty() || room && self.packets.len() < policy.buffer_packets {
             self.packets.push_back(packet.to_vec());
         } else {
             metrics::dropped("search_full");
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -10,7 +10,7 @@
 use jujubepost::bus::{Answer, Ask, FlowStatus, Message, Mode, Note, Open, Question};
 use jujubepost::flow::{Flags, Flow, Segment};
 use jujubepost::hold::{self, Holder, Report, State};
-use jujubepost::policy::Steering;
+use jujubepost::policy::BalancerPolicy;
 use jujubepost::steer::{self, Announced, Route, Routes, Share, Steer};
 use jujubepost::wire::Offer;
 
@@ -232,11 +232,11 @@
 /// A balancer that knows `agents` agents and whose store has answered for
 /// long.
 pub fn steer(agents: u8, now: Instant) -> Steer {
-    steer_with(agents, Steering::default(), now)
+    steer_with(agents, BalancerPolicy::default(), now)
 }
 
 /// The same with a policy.
-pub fn steer_with(agents: u8, policy: Steering, now: Instant) -> Steer {
+pub fn steer_with(agents: u8, policy: BalancerPolicy, now: Instant) -> Steer {
     let mut s = Steer::new(balancer(), Arc::from(ZONE), Duration::from_secs(60)).policy(policy);
     s.see(true, now - Duration::from_secs(60));
     s.apply_routes(routes(1));
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -9,7 +9,7 @@
 
 use common::wires::*;
 use jujubepost::bus::{Answer, FlowStatus, Mode, QUESTIONS};
-use jujubepost::policy::Steering;
+use jujubepost::policy::BalancerPolicy;
 use jujubepost::steer::Steer;
 
 const MS: Duration = Duration::from_millis(1);
@@ -86,7 +86,7 @@
 #[test]
 fn packets_kept() {
     let now = Instant::now();
-    let policy = Steering { kept_packets: 3, ..Steering::default() };
+    let policy = BalancerPolicy { buffer_packets: 3, ..BalancerPolicy::default() };
     let mut s = steer_with(4, policy, now);
     for _ in 0..5 {
         packet(&mut s, 1, now);
@@ -103,7 +103,7 @@
 #[test]
 fn bytes_bounded() {
     let now = Instant::now();
-    let policy = Steering { kept_bytes: 30, ..Steering::default() };
+    let policy = BalancerPolicy { buffer_bytes: 30, ..BalancerPolicy::default() };
     let mut s = steer_with(1, policy, now);
     let found = |s: &mut Steer, port: u16| {
         for _ in 0..9 {
@@ -123,7 +123,8 @@
 #[test]
 fn asks_bounded() {
     let now = Instant::now();
-    let policy = Steering { asks: 100.0, ask_burst: 10.0, ..Steering::default() };
+    let policy =
+        BalancerPolicy { query_rate: 100.0, query_burst: 10.0, ..BalancerPolicy::default() };
     let mut s = steer_with(20, policy, now);
     for port in 1..=2_000 {
         packet(&mut s, port, now);
@@ -144,7 +145,7 @@
 #[test]
 fn held_back_not_missed() {
     let now = Instant::now();
-    let policy = Steering { asks: 1.0, ask_burst: 1.0, ..Steering::default() };
+    let policy = BalancerPolicy { query_rate: 1.0, query_burst: 1.0, ..BalancerPolicy::default() };
     let mut s = steer_with(4, policy, now);
     for port in 1..=40 {
         packet(&mut s, port, now);
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::policy::Steering;
+use jujubepost::policy::BalancerPolicy;
 use jujubepost::steer::{Announced, Steer};
 
 const MS: Duration = Duration::from_millis(1);
@@ -35,8 +35,8 @@
 #[test]
 fn lapse_of_all() {
     let now = Instant::now();
-    let policy = Steering::default().fit(1_000.0, 0.25);
-    let rate = f64::from(policy.suspicion.pings);
+    let policy = BalancerPolicy::default().scaled_to_vm(1_000.0, 0.25);
+    let rate = f64::from(policy.suspicion.ping_rate);
     let mut s = steer_with(0, policy, now);
     let all = fleet(2_300);
     s.roster.update(&all, now);
@@ -66,7 +66,7 @@
 #[test]
 fn dropped_once_asked() {
     let now = Instant::now();
-    let mut s = steer_with(0, Steering::default().fit(4.0, 0.12), now);
+    let mut s = steer_with(0, BalancerPolicy::default().scaled_to_vm(4.0, 0.12), now);
     let all = fleet(2_000);
     s.roster.update(&all, now);
     s.roster.update(&[], now);
