--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -11,7 +11,7 @@
 use jujubepost::edge::Reader;
 use jujubepost::platform::config;
 use jujubepost::relay::Relay;
-use jujubepost::steer::{Announced, Steer};
+use jujubepost::steering::{FlowSteering, ListedAgent};
 use jujubepost::store::{Change, Kv, Snapshot};
 use serde_json::json;
 
@@ -26,7 +26,7 @@
 
 fn agent(n: u32, routes: u32, rev: i64) -> Kv {
     let ip = std::net::Ipv4Addr::from(0x0a01_0000 + n);
-    let entry = Announced {
+    let entry = ListedAgent {
         addr: std::net::SocketAddrV4::new(ip, 7_720),
         zone: format!("zone-{}", n % 9).into(),
         service: format!("service-{}", n % routes).into(),
@@ -68,8 +68,8 @@
     let mut last = (0, 0, Duration::ZERO);
     for rev in 2..7 {
         routes.version += 1;
-        let route = routes.routes.values_mut().next().unwrap();
-        route.limit = Duration::from_millis(1_000 + u64::try_from(rev).unwrap());
+        let route = routes.by_address.values_mut().next().unwrap();
+        route.request_timeout = Duration::from_millis(1_000 + u64::try_from(rev).unwrap());
         let put = relay.due(&copy, &routes).unwrap().unwrap().put;
         let bytes = put.iter().map(|(_, value)| value.len().div_ceil(3) * 4).sum();
         let keys = put.len();
@@ -82,8 +82,8 @@
     last
 }
 
-fn steer() -> Steer {
-    Steer::new("10.9.0.1:7720".parse().unwrap(), "zone-1".into(), Duration::from_secs(60))
+fn steer() -> FlowSteering {
+    FlowSteering::new("10.9.0.1:7720".parse().unwrap(), "zone-1".into(), Duration::from_secs(60))
 }
 
 fn time(mut run: impl FnMut()) -> Duration {
--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -16,7 +16,7 @@
 use jujubepost::hold::{self, Holder, Report, State};
 use jujubepost::platform::packet;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
-use jujubepost::steer::{self, Announced, Route, Routes, Share, Steer};
+use jujubepost::steering::{self, FlowSteering, ListedAgent, Route, Routes, WeightedService};
 use jujubepost::table::Table;
 use jujubepost::wire::{self, Kind, Owner, Packet};
 
@@ -31,13 +31,13 @@
     sent: u64,
 }
 
-impl steer::Out for Encode {
-    fn agent(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+impl steering::Transmit for Encode {
+    fn send_to_agent(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         bus::encode(message, packet, &mut self.buf).unwrap();
         self.sent += black_box(self.buf.len()) as u64;
     }
 
-    fn reset(&mut self, _: Flow, _: u32) {}
+    fn send_reset(&mut self, _: Flow, _: u32) {}
 }
 
 impl hold::Out for Encode {
@@ -85,15 +85,16 @@
     times[RUNS / 2]
 }
 
-fn steer_with_flows(packets: &[Vec<u8>]) -> Steer {
+fn steer_with_flows(packets: &[Vec<u8>]) -> FlowSteering {
     let now = Instant::now();
-    let mut s = Steer::new(addr(200), "a".into(), Duration::from_secs(60));
-    let share = Share { service: "meter".into(), weight: 1, max_flows: 2_000 };
-    let route = Route { name: "r".into(), services: vec![share], limit: Duration::from_secs(3) };
+    let mut s = FlowSteering::new(addr(200), "a".into(), Duration::from_secs(60));
+    let share = WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 };
+    let route =
+        Route { name: "r".into(), services: vec![share], request_timeout: Duration::from_secs(3) };
     let idle = Duration::from_secs(15);
-    s.apply_routes(Routes { version: 1, routes: [(vip(), route)].into(), idle });
-    let agents: Vec<Announced> = (1..=10)
-        .map(|n| Announced {
+    s.apply_routes(Routes { version: 1, by_address: [(vip(), route)].into(), idle_timeout: idle });
+    let agents: Vec<ListedAgent> = (1..=10)
+        .map(|n| ListedAgent {
             addr: addr(n),
             zone: "a".into(),
             service: "meter".into(),
@@ -103,9 +104,9 @@
     s.roster.update(&agents, now);
     let mut out = Encode::default();
     for (port, p) in (1..=FLOWS).zip(packets) {
-        s.packet(&packet::decode(p).unwrap(), p, now, &mut out);
+        s.handle_packet(&packet::decode(p).unwrap(), p, now, &mut out);
         let note = Note { flow: flow(port), status: FlowStatus::Held, load: 0 };
-        s.note(addr(1), note, now, &mut out);
+        s.handle_note(addr(1), note, now, &mut out);
     }
     s
 }
@@ -119,13 +120,13 @@
     let forwarded = median(|| {
         let start = Instant::now();
         for p in &data {
-            s.packet(&packet::decode(p).unwrap(), p, start, &mut out);
+            s.handle_packet(&packet::decode(p).unwrap(), p, start, &mut out);
         }
         start.elapsed()
     });
     let opened = median(|| {
         let start = Instant::now();
-        black_box(steer_with_flows(&opens).remembered());
+        black_box(steer_with_flows(&opens).flow_count());
         start.elapsed()
     });
     println!("balancer, packet of a known flow: {forwarded:.0} ns");
--- a/src/edge/announce.rs
+++ b/src/edge/announce.rs
@@ -10,7 +10,7 @@
 use super::LEASE_MS;
 use crate::hold::Start;
 use crate::platform;
-use crate::steer::Announced;
+use crate::steering::ListedAgent;
 use crate::store::{Lessor, lease};
 use crate::{events, metrics};
 
@@ -56,7 +56,7 @@
 
 /// The agent's entry in the store.
 pub(super) struct Entry {
-    pub(super) me: Announced,
+    pub(super) me: ListedAgent,
     /// Where the target takes packets.
     pub(super) target: SocketAddrV4,
     pub(super) value: watch::Sender<Vec<u8>>,
@@ -68,7 +68,7 @@
     /// Writes down the target's start, so that the next process here knows for
     /// which one this process took flows.
     pub(super) fn serves(&self, start: Start) {
-        let me = Announced { target: Some(start), ..self.me.clone() };
+        let me = ListedAgent { target: Some(start), ..self.me.clone() };
         match serde_json::to_vec(&me) {
             Ok(value) => {
                 self.value.send_if_modified(|old| {
@@ -98,7 +98,7 @@
             return Earlier::Unknown;
         }
     };
-    match serde_json::from_slice::<Announced>(&kv.value) {
+    match serde_json::from_slice::<ListedAgent>(&kv.value) {
         Ok(entry) => Earlier::Listed(entry.target),
         Err(e) => {
             metrics::dropped("entry_unreadable");
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -1,5 +1,5 @@
 //! The balancer on an entry VM: takes callers' packets from the platform's
-//! routers and hands each to an agent, as [`Steer`] decides.
+//! routers and hands each to an agent, as [`FlowSteering`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -22,7 +22,7 @@
 use crate::listen::{Answer, Server};
 use crate::platform::{self, packet};
 use crate::relay::Relay;
-use crate::steer::{self, Steer};
+use crate::steering::{self, FlowSteering};
 use crate::store::Snapshot;
 use crate::store::mirror::{self, News, Source};
 use crate::{events, metrics};
@@ -56,12 +56,12 @@
     buf: &'a mut Vec<u8>,
 }
 
-impl steer::Out for Sender<'_> {
-    fn agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+impl steering::Transmit for Sender<'_> {
+    fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         self.wires.bus.message(to, message, packet, self.buf);
     }
 
-    fn reset(&mut self, flow: Flow, seq: u32) {
+    fn send_reset(&mut self, flow: Flow, seq: u32) {
         let to = SocketAddrV4::new(*flow.caller.ip(), self.port);
         self.wires.packets.send(to, &packet::reset(flow, seq));
     }
@@ -84,8 +84,8 @@
         Some(addr) => Some(readiness(addr, board.clone()).await?),
         None => None,
     };
-    let steer = Steer::new(settings.bus(), settings.zone.clone(), settings.flow_life())
-        .policy(settings.steering());
+    let steer = FlowSteering::new(settings.bus(), settings.zone.clone(), settings.flow_life())
+        .with_policy(settings.steering());
     let steer = Rc::new(RefCell::new(steer));
     let inspect = inspect::serve(&settings, steer.clone()).await?;
     log::info!(
@@ -98,10 +98,10 @@
     let port = settings.packets.port();
     super::until_stopped(path, forward(&wires, &steer, port, &board, &refresh)).await?;
     log::info!(
-        event = events::EDGE_STOP, name:% = settings.name, flows = steer.borrow().remembered();
+        event = events::EDGE_STOP, name:% = settings.name, flows = steer.borrow().flow_count();
         "balancer stops"
     );
-    steer.borrow_mut().stop();
+    steer.borrow_mut().begin_shutdown();
     board.set_ready(false);
     let linger = LINGER.min(settings.grace() / 2);
     let _ = tokio::time::timeout(linger, forward(&wires, &steer, port, &board, &refresh)).await;
@@ -116,7 +116,7 @@
 /// runs.
 async fn follow_store(
     settings: &Settings,
-    steer: &Rc<RefCell<Steer>>,
+    steer: &Rc<RefCell<FlowSteering>>,
     board: &Board,
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
@@ -136,25 +136,25 @@
         let mut lost = false;
         let mut reader = Reader::default();
         let scope = |copy: &Snapshot| {
-            let scope = relay.scope(copy, view.borrow().version());
+            let scope = relay.scope(copy, view.borrow().config_version());
             metrics::state("follows_parts", scope.is_some().into());
             scope
         };
         let follow = mirror::follow(&source, scope, |news| match news {
             News::Copy(copy) => {
                 reader.apply_snapshot(&mut view.borrow_mut(), copy);
-                seen.set_ready(view.borrow().ready());
+                seen.set_ready(view.borrow().is_ready());
                 let copy = Arc::new(copy.clone());
                 seen.set_copy(copy.clone());
                 tell.send_replace(Some(copy));
             }
             News::Back => {
-                view.borrow_mut().see(true, Instant::now());
+                view.borrow_mut().set_store_reachable(true, Instant::now());
                 log::info!(event = events::EDGE_STORE, after_loss = lost; "store answers");
                 lost = false;
             }
             News::Failed(e) if !lost => {
-                view.borrow_mut().see(false, Instant::now());
+                view.borrow_mut().set_store_reachable(false, Instant::now());
                 log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "store lost");
                 tell.send_replace(None);
                 lost = true;
@@ -165,16 +165,16 @@
     }))
 }
 
-impl Inspect for Steer {
+impl Inspect for FlowSteering {
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value {
-        Self::beliefs(self, flow, Instant::now())
+        Self::state_json(self, flow, Instant::now())
     }
 
     fn gauge(&self) {
-        metrics::state("config_version", self.version().unwrap_or_default());
+        metrics::state("config_version", self.config_version().unwrap_or_default());
         metrics::state("agents", self.roster.len() as u64);
-        metrics::state("flows_remembered", self.remembered() as u64);
-        metrics::state("ready", self.ready().into());
+        metrics::state("flows_remembered", self.flow_count() as u64);
+        metrics::state("ready", self.is_ready().into());
     }
 }
 
@@ -192,7 +192,7 @@
 /// Forwards packets until told otherwise.
 async fn forward(
     wires: &Wires,
-    steer: &RefCell<Steer>,
+    steer: &RefCell<FlowSteering>,
     port: u16,
     board: &Board,
     refresh: &Notify,
@@ -201,7 +201,7 @@
     let mut scratch = Vec::with_capacity(bus::DATAGRAM);
     loop {
         let before = Instant::now();
-        let due = steer.borrow().next_due(before);
+        let due = steer.borrow().next_deadline(before);
         let wait = due.map_or(IDLE_TICK, |at| at.saturating_duration_since(before));
         tokio::select! {
             () = wires.packets.readable() => {}
@@ -220,16 +220,16 @@
         // would overtake the note of its open, and answers in the queue would
         // count as missing.
         let caught_up = wires.bus.drain(&mut buf, |datagram, from| match bus::decode(datagram) {
-            Ok((message, _)) => steer.message(from, &message, now, &mut out),
+            Ok((message, _)) => steer.handle_message(from, &message, now, &mut out),
             Err(e) => metrics::dropped(e),
         });
         wires.packets.drain(&mut buf, |datagram, _| match packet::decode(datagram) {
-            Ok(seg) => steer.packet(&seg, datagram, now, &mut out),
+            Ok(seg) => steer.handle_packet(&seg, datagram, now, &mut out),
             Err(e) => metrics::dropped(e),
         });
         if caught_up {
             steer.tick(now, &mut out);
         }
-        board.set_ready(steer.ready());
+        board.set_ready(steer.is_ready());
     }
 }
--- a/src/edge/listing.rs
+++ b/src/edge/listing.rs
@@ -9,7 +9,7 @@
 
 use super::AGENTS;
 use crate::relay::{self, Part};
-use crate::steer::{Announced, Routes, Steer};
+use crate::steering::{FlowSteering, ListedAgent, Routes};
 use crate::store::{Kv, Snapshot};
 use crate::{events, metrics, platform};
 
@@ -19,12 +19,12 @@
     config: i64,
     index: i64,
     parts: BTreeMap<Arc<str>, (i64, Part)>,
-    agents: BTreeMap<Arc<str>, (i64, Option<Announced>)>,
+    agents: BTreeMap<Arc<str>, (i64, Option<ListedAgent>)>,
 }
 
 impl Reader {
     /// Applies what the store's keys say now to `steer`.
-    pub fn apply_snapshot(&mut self, steer: &mut Steer, copy: &Snapshot) {
+    pub fn apply_snapshot(&mut self, steer: &mut FlowSteering, copy: &Snapshot) {
         if let Some(kv) = copy.keys.get(platform::config::KEY)
             && kv.rev != self.config
         {
@@ -33,7 +33,7 @@
         }
         self.read_parts(steer, copy);
         if self.read_agents(copy) {
-            let agents: Vec<Announced> =
+            let agents: Vec<ListedAgent> =
                 self.agents.values().filter_map(|(_, a)| a.clone()).collect();
             if steer.roster.update(&agents, Instant::now()) {
                 log::info!(
@@ -46,11 +46,11 @@
     }
 
     /// Applies a configuration that a relay published in parts, if it is newer.
-    fn read_parts(&mut self, steer: &mut Steer, copy: &Snapshot) {
+    fn read_parts(&mut self, steer: &mut FlowSteering, copy: &Snapshot) {
         let Some((index, rev)) = relay::index(copy).filter(|(_, rev)| *rev != self.index) else {
             return;
         };
-        if steer.version() >= Some(index.version) {
+        if steer.config_version() >= Some(index.version) {
             self.index = rev;
             return;
         }
@@ -103,8 +103,8 @@
 
 /// Reads an agent's entry. One that cannot be read, or that names another VM
 /// than its key, names no agent; the others hold.
-fn announced(kv: &Kv) -> Option<Announced> {
-    let (reason, error) = match serde_json::from_slice::<Announced>(&kv.value) {
+fn announced(kv: &Kv) -> Option<ListedAgent> {
+    let (reason, error) = match serde_json::from_slice::<ListedAgent>(&kv.value) {
         Ok(a) if kv.key.strip_prefix(AGENTS) == Some(&a.addr.ip().to_string()) => return Some(a),
         Ok(a) => ("entry_of_other_vm", format!("names {}", a.addr)),
         Err(e) => ("entry_unreadable", e.to_string()),
@@ -118,7 +118,7 @@
 }
 
 /// Applies what the operators wrote, unless something newer is in force.
-fn apply_config(steer: &mut Steer, kv: &Kv) {
+fn apply_config(steer: &mut FlowSteering, kv: &Kv) {
     match platform::config::decode(&kv.value) {
         Ok(routes) => apply(steer, routes, kv.rev, 0),
         Err(e) => log_rejected(kv, &e),
@@ -126,8 +126,8 @@
 }
 
 /// Applies `routes`, of which `parts` parts were read anew.
-fn apply(steer: &mut Steer, routes: Routes, rev: i64, parts: usize) {
-    let (version, n) = (routes.version, routes.routes.len());
+fn apply(steer: &mut FlowSteering, routes: Routes, rev: i64, parts: usize) {
+    let (version, n) = (routes.version, routes.by_address.len());
     if steer.apply_routes(routes) {
         log::info!(
             event = events::EDGE_CONFIG, version = version, routes = n, rev = rev, parts = parts;
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -12,7 +12,7 @@
 use crate::events;
 use crate::platform::kv::Client;
 use crate::relay::{INDEX, Relay};
-use crate::steer::Steer;
+use crate::steering::FlowSteering;
 use crate::store::{Lessor, Snapshot, lease};
 
 /// Time to live of a relay's key. When the relay dies, its data centre follows
@@ -31,7 +31,7 @@
 pub async fn run(
     store: Client,
     relay: Relay,
-    steer: Rc<RefCell<Steer>>,
+    steer: Rc<RefCell<FlowSteering>>,
     mut copies: watch::Receiver<Option<Arc<Snapshot>>>,
 ) {
     // Held for as long as this runs; dropping it ends the task.
@@ -88,7 +88,7 @@
 async fn publish_parts(
     store: &Client,
     relay: &Relay,
-    steer: &RefCell<Steer>,
+    steer: &RefCell<FlowSteering>,
     copy: &Snapshot,
 ) -> anyhow::Result<()> {
     let (due, version) = match steer.borrow().routes() {
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -22,7 +22,7 @@
 use crate::hold::{self, Holder, Target};
 use crate::listen::{Answer, Server};
 use crate::platform::packet;
-use crate::steer::Announced;
+use crate::steering::ListedAgent;
 use crate::{events, metrics};
 
 /// Largest packet, in bytes.
@@ -118,7 +118,8 @@
         Earlier::None => holder.borrow_mut().mark_new(),
         Earlier::Listed(target) => holder.borrow_mut().follows(target, Instant::now()),
     }
-    let me = Announced { addr: settings.bus(), zone: settings.zone.clone(), service, target: None };
+    let me =
+        ListedAgent { addr: settings.bus(), zone: settings.zone.clone(), service, target: None };
     let (value, values) = watch::channel(serde_json::to_vec(&me)?);
     let target = wires.target;
     let entry = Rc::new(Entry { me, target, value, check: Rc::new(Notify::new()) });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,9 +6,9 @@
 //! - [`settings`]: typed, checked settings read from JSON with comments.
 //! - [`wire`]: the packets exchanged by fabric, balancers and agents.
 //! - [`stream`]: ordered delivery over datagrams.
-//! - [`flow`], [`bus`], [`steer`], [`hold`], [`edge`]: the path of packets that
+//! - [`flow`], [`bus`], [`steering`], [`hold`], [`edge`]: the path of packets that
 //!   callers and targets exchange end to end, and its roles on the platform.
-//! - [`policy`], [`budget`]: the figures that decide under load and trouble, and
+//! - [`policy`], [`token_bucket`]: the figures that decide under load and trouble, and
 //!   the bound on work that would grow with it.
 //! - [`platform`]: names, formats and calls of the users' platform.
 //! - [`listen`]: a small HTTP server on the process's own thread.
@@ -29,7 +29,6 @@
 pub mod agent;
 pub mod balancer;
 pub mod bench;
-pub mod budget;
 pub mod bus;
 pub mod ctl;
 pub mod edge;
@@ -49,11 +48,12 @@
 pub mod relay;
 pub mod script;
 pub mod settings;
-pub mod steer;
+pub mod steering;
 pub mod store;
 pub mod stream;
 pub mod table;
 pub mod target;
+pub mod token_bucket;
 pub mod trial;
 pub mod up;
 pub mod wire;
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -18,7 +18,7 @@
 };
 use crate::hold::{Holder, Report, Start, State};
 use crate::policy::Policy;
-use crate::steer::{Announced, Route, Routes, Share, Steer};
+use crate::steering::{FlowSteering, ListedAgent, Route, Routes, WeightedService};
 
 impl World {
     pub(super) fn new(site: &Site, policy: &Policy, seed: u64) -> Self {
@@ -109,10 +109,11 @@
         n
     }
 
-    pub(super) fn steer(&self, n: usize, zone: u8) -> Steer {
+    pub(super) fn steer(&self, n: usize, zone: u8) -> FlowSteering {
         let policy =
             self.policy.balancer.clone().scaled_to_vm(self.site.link_mbps, self.site.balancer_cpu);
-        Steer::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60)).policy(policy)
+        FlowSteering::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60))
+            .with_policy(policy)
     }
 
     pub(super) fn holder(&self, service: usize) -> Holder {
@@ -135,21 +136,22 @@
     fn routes(&self) -> Routes {
         let routes = self.site.classes.iter().enumerate().map(|(n, class)| {
             let service = self.site.services[class.service].name.into();
-            let share = Share { service, weight: 1, max_flows: 2_000 };
-            let route = Route { name: "r".into(), services: vec![share], limit: class.limit };
+            let share = WeightedService { service, weight: 1, max_flows: 2_000 };
+            let route =
+                Route { name: "r".into(), services: vec![share], request_timeout: class.limit };
             (vip(n), route)
         });
-        Routes { version: 1, routes: routes.collect(), idle: Duration::from_secs(15) }
+        Routes { version: 1, by_address: routes.collect(), idle_timeout: Duration::from_secs(15) }
     }
 
     /// A balancer learns what the store says now.
     pub(super) fn read_store(&mut self, n: usize) {
-        let listed: Vec<Announced> = self
+        let listed: Vec<ListedAgent> = self
             .agents
             .iter()
             .enumerate()
             .filter(|(_, a)| !a.left)
-            .map(|(i, a)| Announced {
+            .map(|(i, a)| ListedAgent {
                 addr: agent_addr(i),
                 zone: zone_name(a.zone),
                 service: self.site.services[a.service].name.into(),
@@ -160,7 +162,7 @@
         let steer = &mut self.balancers[n].steer;
         steer.apply_routes(routes);
         steer.roster.update(&listed, self.now);
-        steer.see(true, self.now);
+        steer.set_store_reachable(true, self.now);
         self.wake_balancer(n, self.now);
     }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! A site without a network: the product's own decisions ([`crate::steer`],
+//! A site without a network: the product's own decisions ([`crate::steering`],
 //! [`crate::hold`]) between modelled callers, routers, targets, links and
 //! processors, on a virtual clock.
 //!
--- a/src/model/trouble.rs
+++ b/src/model/trouble.rs
@@ -69,7 +69,7 @@
 
     fn probe(&mut self) {
         for b in &mut self.balancers {
-            if b.host.up && b.steer.ready() {
+            if b.host.up && b.steer.is_ready() {
                 b.missed = 0;
                 b.rotation = true;
             } else {
@@ -211,7 +211,7 @@
     fn see(&mut self, answers: bool, now: Instant) {
         self.store = answers;
         for b in &mut self.balancers {
-            b.steer.see(answers, now);
+            b.steer.set_store_reachable(answers, now);
         }
     }
 
@@ -238,8 +238,8 @@
         if b.host.boot != boot {
             return;
         }
-        if b.steer.ready() {
-            b.steer.stop();
+        if b.steer.is_ready() {
+            b.steer.begin_shutdown();
             self.events.put(self.now + LINGER, Event::Stopped(n, boot));
         } else {
             b.host.stop();
--- a/src/model/wires.rs
+++ b/src/model/wires.rs
@@ -6,7 +6,7 @@
 use crate::bus::{self, Message};
 use crate::flow::Flow;
 use crate::platform::packet;
-use crate::{hold, steer};
+use crate::{hold, steering};
 
 /// One thing sent.
 #[derive(Clone, Debug)]
@@ -43,12 +43,12 @@
     }
 }
 
-impl steer::Out for Wires {
-    fn agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+impl steering::Transmit for Wires {
+    fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         self.message(to, message, packet);
     }
 
-    fn reset(&mut self, flow: Flow, seq: u32) {
+    fn send_reset(&mut self, flow: Flow, seq: u32) {
         self.0.push(Sent::Reset(packet::reset(flow, seq)));
     }
 }
--- a/src/model/world.rs
+++ b/src/model/world.rs
@@ -21,7 +21,7 @@
 use crate::hold::Holder;
 use crate::platform::packet;
 use crate::policy::Policy;
-use crate::steer::Steer;
+use crate::steering::FlowSteering;
 
 /// Delay between an agent and the target on its VM.
 pub(super) const LOCAL: Duration = Duration::from_micros(50);
@@ -116,7 +116,7 @@
 /// A balancer with its VM.
 pub(super) struct Balancer {
     pub(super) host: Host,
-    pub(super) steer: Steer,
+    pub(super) steer: FlowSteering,
     pub(super) zone: u8,
     /// Whether routers hand it flows, and how often it was not ready since.
     pub(super) rotation: bool,
@@ -274,19 +274,19 @@
         let mut out = Wires::default();
         for (from, bytes) in &messages {
             if let Ok((message, _)) = bus::decode(bytes) {
-                b.steer.message(*from, &message, self.now, &mut out);
+                b.steer.handle_message(*from, &message, self.now, &mut out);
             }
         }
         for bytes in &packets {
             if let Ok(seg) = packet::decode(bytes) {
-                b.steer.packet(&seg, bytes, self.now, &mut out);
+                b.steer.handle_packet(&seg, bytes, self.now, &mut out);
             }
         }
         if b.host.caught_up() {
             b.steer.tick(self.now, &mut out);
         }
         let done = b.host.work(packets.len() + messages.len() + out.0.len(), self.now);
-        let due = if b.host.waits() { Some(done) } else { b.steer.next_due(done) };
+        let due = if b.host.waits() { Some(done) } else { b.steer.next_deadline(done) };
         self.balancer_sends(n, out, done);
         if let Some(at) = due {
             self.wake_balancer(n, at.max(done));
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -9,7 +9,7 @@
 use anyhow::Context;
 use serde::Deserialize;
 
-use crate::steer::{Route, Routes};
+use crate::steering::{Route, Routes};
 
 /// Prefix of what the operators write.
 pub const PREFIX: &str = "op/";
@@ -104,15 +104,19 @@
         let port = port.with_context(|| format!("configuration: port of route {}", r.name))?;
         let services = services(r, &limits);
         let limit = Duration::from_millis(r.timeout_ms.unwrap_or(LIMIT_DEFAULT_MS));
-        let route = Route { name: r.name.clone(), services, limit };
+        let route = Route { name: r.name.clone(), services, request_timeout: limit };
         routes.insert(SocketAddrV4::new(r.host, port), route);
     }
     let idle = body.limits.idle_timeout_ms.unwrap_or(IDLE_DEFAULT_MS);
-    Ok(Routes { version: body.version, routes, idle: Duration::from_millis(idle) })
+    Ok(Routes {
+        version: body.version,
+        by_address: routes,
+        idle_timeout: Duration::from_millis(idle),
+    })
 }
 
-fn services(r: &RouteBody, limits: &HashMap<&str, u32>) -> Vec<crate::steer::Share> {
-    let share = |service: &Arc<str>, weight| crate::steer::Share {
+fn services(r: &RouteBody, limits: &HashMap<&str, u32>) -> Vec<crate::steering::WeightedService> {
+    let share = |service: &Arc<str>, weight| crate::steering::WeightedService {
         service: service.clone(),
         weight,
         max_flows: limits.get(&**service).copied().unwrap_or(u32::MAX),
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -24,7 +24,7 @@
 use anyhow::Context;
 pub use parts::{Index, PARTS, Part};
 
-use crate::steer::Routes;
+use crate::steering::Routes;
 use crate::store::{Kv, Snapshot};
 
 /// Prefix of what the system writes itself: enough to follow while a relay
--- a/src/relay/parts.rs
+++ b/src/relay/parts.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::steer::{Route, Routes};
+use crate::steering::{Route, Routes};
 
 /// Parts of a configuration. All of them, their index and one condition fit
 /// the 32 entries that the store takes in one transaction; at 2,200 routes a
@@ -42,7 +42,7 @@
 /// Fails when a part cannot be encoded.
 pub fn split(routes: &Routes) -> postcard::Result<(Index, Vec<Vec<u8>>)> {
     let mut parts: Vec<Part> = vec![Part::new(); PARTS];
-    for (addr, route) in &routes.routes {
+    for (addr, route) in &routes.by_address {
         parts[place(*addr)].push((*addr, route.clone()));
     }
     let mut values = Vec::with_capacity(PARTS);
@@ -50,7 +50,7 @@
         part.sort_unstable_by_key(|(addr, _)| *addr);
         values.push(postcard::to_stdvec(&part)?);
     }
-    let idle_ms = u64::try_from(routes.idle.as_millis()).unwrap_or(u64::MAX);
+    let idle_ms = u64::try_from(routes.idle_timeout.as_millis()).unwrap_or(u64::MAX);
     let sums = values.iter().map(|v| sum(v)).collect();
     Ok((Index { version: routes.version, idle_ms, sums }, values))
 }
@@ -68,7 +68,11 @@
 #[must_use]
 pub fn join<'a>(index: &Index, parts: impl IntoIterator<Item = &'a Part>) -> Routes {
     let routes: HashMap<_, _> = parts.into_iter().flatten().cloned().collect();
-    Routes { version: index.version, routes, idle: Duration::from_millis(index.idle_ms) }
+    Routes {
+        version: index.version,
+        by_address: routes,
+        idle_timeout: Duration::from_millis(index.idle_ms),
+    }
 }
 
 fn place(addr: SocketAddrV4) -> usize {
--- a/src/steer/mod.rs
+++ b/src/steering/mod.rs
@@ -1,6 +1,6 @@
 //! A balancer's decisions on packets whose flows it may never have seen: to
 //! which agent each goes. No sockets and no clocks: time comes in as an
-//! argument, what is to be sent goes out through [`Out`].
+//! argument, what is to be sent goes out through [`Transmit`].
 //!
 //! - A new flow is offered to two agents of its route's service, which decide
 //!   between them by what they know of themselves ([`crate::agent::place()`]).
@@ -29,84 +29,84 @@
 use std::time::{Duration, Instant};
 
 use queries::Queries;
-pub use roster::{Announced, Roster};
-pub use routes::{Route, Routes, Share};
+pub use roster::{ListedAgent, Roster};
+pub use routes::{Route, Routes, WeightedService};
 use rtt::Rtt;
-pub use search::Search;
-pub use state::{FlowState, Opening};
+pub use search::OwnerSearch;
+pub use state::{FlowState, PendingOpen};
 
-use crate::budget::Bucket;
 use crate::bus::{Answer, FlowStatus, Message, Mode, Note};
 use crate::events;
 use crate::flow::{Arrival, Flow, Segment, Table};
 use crate::metrics::{self, Refusal};
 use crate::policy::BalancerPolicy;
+use crate::token_bucket::TokenBucket;
 
 /// What a balancer sends.
-pub trait Out {
+pub trait Transmit {
     /// A message, followed by a caller's packet, to an agent.
-    fn agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]);
+    fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]);
     /// A reset of `flow` to its caller; `seq` is the caller's last
     /// acknowledgement.
-    fn reset(&mut self, flow: Flow, seq: u32);
+    fn send_reset(&mut self, flow: Flow, seq: u32);
 }
 
 /// One balancer's view and memory.
 #[derive(Debug)]
-pub struct Steer {
-    me: SocketAddrV4,
+pub struct FlowSteering {
+    own_addr: SocketAddrV4,
     zone: Arc<str>,
     routes: Option<Routes>,
     /// The agents that the balancer believes in.
     pub roster: Roster,
     flows: Table<FlowState>,
-    due: DueQueue,
+    due: DeadlineQueue,
     policy: BalancerPolicy,
     queries: Queries,
     /// How long agents take to answer.
     rtt: Rtt,
     /// Further offers of opens that may be made.
-    retries: Bucket,
+    retry_budget: TokenBucket,
     /// Bytes of packets kept while their flows' owners are asked for.
     kept: usize,
     /// Since when the store answers; none while it does not, so that agents
     /// may run which are not in the roster.
-    sees_since: Option<Instant>,
+    store_up_since: Option<Instant>,
     parked: VecDeque<Parked>,
     unpark_at: Option<Instant>,
-    stopping: bool,
+    shutting_down: bool,
 }
 
-impl Steer {
+impl FlowSteering {
     /// A balancer in `zone` at which agents answer at `me`, and which
     /// remembers flows for `idle`.
     #[must_use]
     pub fn new(me: SocketAddrV4, zone: Arc<str>, idle: Duration) -> Self {
         Self {
-            me,
+            own_addr: me,
             zone,
             routes: None,
             roster: Roster::default(),
             flows: Table::new(idle),
-            due: DueQueue::default(),
+            due: DeadlineQueue::default(),
             policy: BalancerPolicy::default(),
             queries: Queries::new(0.0, 0.0),
             rtt: Rtt::default(),
-            retries: Bucket::new(0.0),
+            retry_budget: TokenBucket::new(0.0),
             kept: 0,
-            sees_since: None,
+            store_up_since: None,
             parked: VecDeque::new(),
             unpark_at: None,
-            stopping: false,
+            shutting_down: false,
         }
-        .policy(BalancerPolicy::default())
+        .with_policy(BalancerPolicy::default())
     }
 
     /// The balancer with another policy.
     #[must_use]
-    pub fn policy(mut self, policy: BalancerPolicy) -> Self {
+    pub fn with_policy(mut self, policy: BalancerPolicy) -> Self {
         self.queries = Queries::new(policy.query_rate, policy.query_burst);
-        self.retries = Bucket::new(policy.retry_burst);
+        self.retry_budget = TokenBucket::new(policy.retry_burst);
         self.roster = Roster::new(policy.suspicion.clone());
         self.policy = policy;
         self
@@ -120,19 +120,19 @@
 
     /// Version of the configuration in force, if any is known.
     #[must_use]
-    pub fn version(&self) -> Option<u64> {
+    pub fn config_version(&self) -> Option<u64> {
         self.routes.as_ref().map(|r| r.version)
     }
 
     /// Flows remembered.
     #[must_use]
-    pub fn remembered(&self) -> usize {
+    pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
     /// Puts `routes` in force unless a newer version is; says whether it did.
     pub fn apply_routes(&mut self, routes: Routes) -> bool {
-        let newer = self.version().is_none_or(|v| v < routes.version);
+        let newer = self.config_version().is_none_or(|v| v < routes.version);
         if newer {
             self.routes = Some(routes);
         }
@@ -140,121 +140,147 @@
     }
 
     /// Says whether the store answers.
-    pub fn see(&mut self, answers: bool, now: Instant) {
-        self.sees_since = if answers { self.sees_since.or(Some(now)) } else { None };
+    pub fn set_store_reachable(&mut self, answers: bool, now: Instant) {
+        self.store_up_since = if answers { self.store_up_since.or(Some(now)) } else { None };
     }
 
     /// Resumes after the process did not run for `paused`. Until the store answers
     /// again, agents may run that are not in the roster.
     pub fn resume(&mut self, paused: Duration) {
-        self.sees_since = None;
+        self.store_up_since = None;
         self.roster.resume(paused);
     }
 
     /// Takes one packet of a caller.
-    pub fn packet(&mut self, seg: &Segment, packet: &[u8], now: Instant, out: &mut impl Out) {
+    pub fn handle_packet(
+        &mut self,
+        seg: &Segment,
+        packet: &[u8],
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
         let came = Arrival { seg, packet, now };
         if self.routes.is_none() {
             self.park(&came);
             return;
         }
         if seg.opens() {
-            self.open(&came, out);
+            self.handle_open(&came, out);
             return;
         }
         match self.flows.get(came.flow(), now) {
-            Some(FlowState::At { agent, service }) if !self.roster.gone(*agent, now) => {
+            Some(FlowState::Owned { agent, service }) if !self.roster.is_dead(*agent, now) => {
                 let message = Message::Carry { service, mode: Mode::Owner };
-                out.agent(*agent, &message, packet);
+                out.send_to_agent(*agent, &message, packet);
             }
-            _ => self.search(&came, out),
+            _ => self.search_owner(&came, out),
         }
     }
 
     /// Takes one message of an agent; what only agents take is ignored.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         from: SocketAddrV4,
         message: &Message<'_>,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         match message {
-            Message::Note(note) => self.note(from, *note, now, out),
-            Message::Answers { answers, load } => self.answers(from, answers, *load, now, out),
-            Message::Pong { service, load } => self.roster.pong(from, service, *load, now),
-            Message::Ended => self.roster.said(from, FlowStatus::Ended),
+            Message::Note(note) => self.handle_note(from, *note, now, out),
+            Message::Answers { answers, load } => {
+                self.handle_answers(from, answers, *load, now, out)
+            }
+            Message::Pong { service, load } => self.roster.handle_pong(from, service, *load, now),
+            Message::Ended => self.roster.record_status(from, FlowStatus::Ended),
             _ => {}
         }
     }
 
     /// Takes what an agent says of a flow.
-    pub fn note(&mut self, from: SocketAddrV4, note: Note, now: Instant, out: &mut impl Out) {
-        self.roster.heard(from, note.load, now);
-        self.roster.said(from, note.status);
+    pub fn handle_note(
+        &mut self,
+        from: SocketAddrV4,
+        note: Note,
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
+        self.roster.record_contact(from, note.load, now);
+        self.roster.record_status(from, note.status);
         match note.status {
-            FlowStatus::Held => self.held(from, note.flow, now, out),
-            FlowStatus::Refused(reason) => self.refused(from, note.flow, reason, now, out),
+            FlowStatus::Held => self.record_owner(from, note.flow, now, out),
+            FlowStatus::Refused(reason) => self.handle_refusal(from, note.flow, reason, now, out),
             FlowStatus::Unknown
             | FlowStatus::Ended
             | FlowStatus::Unverified
             | FlowStatus::NotOwner => {
-                self.unknown(from, note.flow, note.status, now, out);
+                self.handle_denial(from, note.flow, note.status, now, out);
             }
         }
     }
 
     /// Takes an agent's answers to questions.
-    pub fn answers(
+    pub fn handle_answers(
         &mut self,
         from: SocketAddrV4,
         answers: &[Answer],
         load: u32,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
-        self.roster.heard(from, load, now);
+        self.roster.record_contact(from, load, now);
         for answer in answers {
-            self.roster.said(from, answer.status);
-            self.answer(from, *answer, now, out);
+            self.roster.record_status(from, answer.status);
+            self.handle_answer(from, *answer, now, out);
         }
     }
 
     /// The target of the agent `from` holds `flow`.
-    fn held(&mut self, from: SocketAddrV4, flow: Flow, now: Instant, out: &mut impl Out) {
+    fn record_owner(
+        &mut self,
+        from: SocketAddrV4,
+        flow: Flow,
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
         let service = match self.flows.remove(flow) {
             Some(FlowState::Opening(o)) => {
                 self.rtt.note(now.duration_since(o.asked));
-                self.tell_home(from, flow, &o, out);
+                self.send_owner_hint(from, flow, &o, out);
                 o.service
             }
-            Some(FlowState::Search(s)) => {
+            Some(FlowState::Searching(s)) => {
                 let service = s.service.clone();
-                self.found(from, s, out);
+                self.forward_buffered(from, s, out);
                 service
             }
-            Some(at @ FlowState::At { .. }) => {
+            Some(at @ FlowState::Owned { .. }) => {
                 self.flows.insert(flow, at, now);
                 return;
             }
             None => return,
         };
-        self.flows.insert(flow, FlowState::At { agent: from, service }, now);
+        self.flows.insert(flow, FlowState::Owned { agent: from, service }, now);
     }
 
     /// Tells a flow's home of its owner, unless it is the owner or passed the
     /// open on to it: whoever asks for the flow asks its home first.
-    fn tell_home(&self, owner: SocketAddrV4, flow: Flow, o: &Opening, out: &mut impl Out) {
-        let home = self.roster.home(&o.service, &self.zone, flow);
+    fn send_owner_hint(
+        &self,
+        owner: SocketAddrV4,
+        flow: Flow,
+        o: &PendingOpen,
+        out: &mut impl Transmit,
+    ) {
+        let home = self.roster.home_agent(&o.service, &self.zone, flow);
         let Some(home) = home.filter(|h| *h != owner && self.policy.hints_enabled) else { return };
-        let passed = o.offered.iter().rev().nth(1) == Some(&home);
+        let passed = o.offered_to.iter().rev().nth(1) == Some(&home);
         if !passed {
-            out.agent(home, &Message::Hint { flow, agent: owner }, &[]);
+            out.send_to_agent(home, &Message::Hint { flow, agent: owner }, &[]);
         }
     }
 
     /// After how long an answer of an agent is taken as missing.
-    fn answer_time(&self) -> Duration {
+    fn response_timeout(&self) -> Duration {
         self.rtt.timeout(self.policy.min_timeout, self.policy.max_timeout)
     }
 
@@ -262,27 +288,27 @@
     /// agents with the age of what it last heard of each, and, where `flow` is
     /// given, where its packets go and by which rule.
     #[must_use]
-    pub fn beliefs(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
+    pub fn state_json(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
         serde_json::json!({
-            "version": self.version(),
-            "ready": self.ready(),
-            "store_answers_ms": self.sees_since.map(|at| now.duration_since(at).as_millis()),
+            "version": self.config_version(),
+            "ready": self.is_ready(),
+            "store_answers_ms": self.store_up_since.map(|at| now.duration_since(at).as_millis()),
             "flows_remembered": self.flows.len(),
-            "agents": self.roster.beliefs(now),
-            "flow": flow.map(|f| self.explain(f, now)),
+            "agents": self.roster.state_json(now),
+            "flow": flow.map(|f| self.explain_flow(f, now)),
         })
     }
 
-    fn explain(&self, flow: Flow, now: Instant) -> serde_json::Value {
-        let route = self.routes.as_ref().and_then(|r| r.find(flow));
+    fn explain_flow(&self, flow: Flow, now: Instant) -> serde_json::Value {
+        let route = self.routes.as_ref().and_then(|r| r.route_for(flow));
         let pick = route.and_then(|(_, share)| {
-            self.roster.pick(&share.service, &self.zone, flow, None, &[], now)
+            self.roster.choose_pair(&share.service, &self.zone, flow, None, &[], now)
         });
         serde_json::json!({
             "flow": flow.to_string(),
             "route": route.map(|(r, _)| r.name.to_string()),
             "service": route.map(|(_, s)| s.service.to_string()),
-            "known": self.flows.peek(flow).map(FlowState::rule),
+            "known": self.flows.peek(flow).map(FlowState::describe),
             "a_new_one_goes_to": pick.map(|(a, b)| (a.to_string(), b.map(|b| b.to_string()))),
         })
     }
@@ -290,44 +316,44 @@
     /// Whether callers should be sent here: a configuration is in force and
     /// agents can be reached.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        self.routes.is_some() && !self.stopping && !self.roster.cut_off()
+    pub fn is_ready(&self) -> bool {
+        self.routes.is_some() && !self.shutting_down && !self.roster.all_silent()
     }
 
     /// From now on callers should be sent elsewhere.
-    pub const fn stop(&mut self) {
-        self.stopping = true;
+    pub const fn begin_shutdown(&mut self) {
+        self.shutting_down = true;
     }
 
-    /// When [`Steer::tick`] next has something to do.
+    /// When [`FlowSteering::tick`] next has something to do.
     #[must_use]
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
-        [self.due.first(), self.roster.next_ping(), self.unpark_at, self.queries.next(now)]
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        [self.due.first(), self.roster.next_ping(), self.unpark_at, self.queries.next_send(now)]
             .into_iter()
             .flatten()
             .min()
     }
 
     /// Does what has come due by `now`.
-    pub fn tick(&mut self, now: Instant, out: &mut impl Out) {
+    pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.unpark_at.is_some_and(|at| at <= now) {
             self.unpark_at = None;
             self.unpark(now, out);
         }
         while let Some(flow) = self.due.take(now) {
-            self.overdue(flow, now, out);
+            self.handle_deadline(flow, now, out);
         }
-        self.roster.ping(now, out);
-        self.queries.send(now, out);
+        self.roster.ping_suspects(now, out);
+        self.queries.send_queued(now, out);
         let kept = &mut self.kept;
-        self.flows.expire(now, |_, known| *kept -= known.kept());
+        self.flows.expire(now, |_, known| *kept -= known.buffered_bytes());
     }
 
-    fn overdue(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
+    fn handle_deadline(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         match self.flows.peek(flow) {
-            Some(FlowState::Opening(o)) if o.due <= now => self.reoffer(flow, now, out),
-            Some(FlowState::Search(s)) if s.due.is_some_and(|at| at <= now) => {
-                self.unanswered(flow, now, out);
+            Some(FlowState::Opening(o)) if o.due <= now => self.handle_open_timeout(flow, now, out),
+            Some(FlowState::Searching(s)) if s.due.is_some_and(|at| at <= now) => {
+                self.handle_wave_timeout(flow, now, out);
             }
             Some(_) | None => {}
         }
@@ -346,14 +372,14 @@
 
     /// Takes the packets kept until a configuration was known; those whose
     /// callers have sent a copy or given up since are dropped.
-    fn unpark(&mut self, now: Instant, out: &mut impl Out) {
+    fn unpark(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.routes.is_none() {
             self.unpark_at = Some(now + self.policy.unpark_interval);
             return;
         }
         for p in std::mem::take(&mut self.parked) {
             if now.duration_since(p.since) < self.policy.open_timeout {
-                self.packet(&p.seg, &p.packet, now, out);
+                self.handle_packet(&p.seg, &p.packet, now, out);
             }
         }
     }
@@ -361,9 +387,9 @@
 
 /// Flows by when to look at them again.
 #[derive(Debug, Default)]
-struct DueQueue(BinaryHeap<Reverse<(Instant, Flow)>>);
+struct DeadlineQueue(BinaryHeap<Reverse<(Instant, Flow)>>);
 
-impl DueQueue {
+impl DeadlineQueue {
     fn put(&mut self, at: Instant, flow: Flow) {
         self.0.push(Reverse((at, flow)));
     }
@@ -388,12 +414,12 @@
 }
 
 /// Tells a caller at once that its flow cannot be opened; nothing ran.
-fn refuse(flow: Flow, reason: Refusal, out: &mut impl Out) {
-    refuse_at(flow, 0, reason, out);
+fn refuse_open(flow: Flow, reason: Refusal, out: &mut impl Transmit) {
+    send_refusal(flow, 0, reason, out);
 }
 
-fn refuse_at(flow: Flow, seq: u32, reason: Refusal, out: &mut impl Out) {
+fn send_refusal(flow: Flow, seq: u32, reason: Refusal, out: &mut impl Transmit) {
     metrics::refused(reason);
     log::info!(event = events::FLOW_REFUSED, flow:% = flow, reason:% = reason; "flow refused");
-    out.reset(flow, seq);
+    out.send_reset(flow, seq);
 }
--- a/src/steer/owner.rs
+++ b/src/steering/owner.rs
@@ -8,21 +8,21 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-use super::{FlowState, Out, Search, Steer, refuse_at};
+use super::{FlowState, FlowSteering, OwnerSearch, Transmit, send_refusal};
 use crate::bus::{Answer, FlowStatus, Message, Mode};
 use crate::events;
 use crate::flow::{Arrival, Flow};
 use crate::metrics::{self, Refusal, Retry};
 
-impl Steer {
+impl FlowSteering {
     /// Has the owner of a flow found, and keeps its packet until then.
-    pub(super) fn search(&mut self, came: &Arrival<'_>, out: &mut impl Out) {
+    pub(super) fn search_owner(&mut self, came: &Arrival<'_>, out: &mut impl Transmit) {
         let Arrival { seg, now, .. } = *came;
         let flow = came.flow();
         let Some(routes) = &self.routes else { return };
-        let Some(share) = routes.share(flow) else {
+        let Some(share) = routes.service_for(flow) else {
             if !seg.flags.rst {
-                refuse_at(flow, seg.ack, Refusal::NoProfile, out);
+                send_refusal(flow, seg.ack, Refusal::NoProfile, out);
             }
             return;
         };
@@ -30,34 +30,41 @@
         // An open whose note has not come yet: the agents that it was offered to
         // know best.
         let (mut search, offered) = match self.flows.remove(flow) {
-            Some(FlowState::Search(s)) => (s, Vec::new()),
-            Some(FlowState::Opening(o)) => (Search::default(), o.offered),
-            Some(FlowState::At { .. }) | None => (Search::default(), Vec::new()),
+            Some(FlowState::Searching(s)) => (s, Vec::new()),
+            Some(FlowState::Opening(o)) => (OwnerSearch::default(), o.offered_to),
+            Some(FlowState::Owned { .. }) | None => (OwnerSearch::default(), Vec::new()),
         };
         self.kept -= search.bytes();
         let under_way = search.due.is_some();
         if !under_way {
             search.packets.clear();
         }
-        search.keep(seg, came.packet, self.kept, &self.policy);
+        search.buffer_packet(seg, came.packet, self.kept, &self.policy);
         self.kept += search.bytes();
         if !under_way {
             search.service = service;
-            self.begin(flow, &mut search, &offered, now);
+            self.start_round(flow, &mut search, &offered, now);
         }
-        self.flows.insert(flow, FlowState::Search(search), now);
+        self.flows.insert(flow, FlowState::Searching(search), now);
     }
 
     /// Begins a round: every agent of the service is to be asked, the likeliest
     /// first and those that do not answer last, but for those whose targets have
     /// ended.
-    fn begin(&mut self, flow: Flow, search: &mut Search, offered: &[SocketAddrV4], now: Instant) {
-        let all: Vec<_> = self.roster.of(&search.service).collect();
+    fn start_round(
+        &mut self,
+        flow: Flow,
+        search: &mut OwnerSearch,
+        offered: &[SocketAddrV4],
+        now: Instant,
+    ) {
+        let all: Vec<_> = self.roster.agents_of(&search.service).collect();
         // Fewer than the type holds.
         search.agents = all.len() as u32;
-        let asked = all.into_iter().filter(|a| !self.roster.over(*a));
-        let (answering, silent): (Vec<_>, Vec<_>) = asked.partition(|a| self.roster.answers(*a));
-        let mut order = self.roster.likely(&answering, &self.zone, flow);
+        let asked = all.into_iter().filter(|a| !self.roster.target_ended(*a));
+        let (answering, silent): (Vec<_>, Vec<_>) =
+            asked.partition(|a| self.roster.is_responsive(*a));
+        let mut order = self.roster.rank_by_likelihood(&answering, &self.zone, flow);
         order.extend(silent);
         order.sort_by_key(|a| !offered.contains(a));
         search.left = order.into();
@@ -65,19 +72,19 @@
         search.silent.clear();
         search.unverified.clear();
         search.trial = None;
-        search.wave = 0;
+        search.wave_index = 0;
         search.messages = 0;
         metrics::retried(Retry::OwnerAsked);
         log::info!(
             event = events::OWNER_ASKED, flow:% = flow, agents = search.agents,
-            version = self.version();
+            version = self.config_version();
             "agents asked for a flow's owner"
         );
-        self.ask_wave(flow, search, now);
+        self.query_wave(flow, search, now);
     }
 
     /// Queries the next agents of a round.
-    fn ask_wave(&mut self, flow: Flow, search: &mut Search, now: Instant) {
+    fn query_wave(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
             self.queries.put(*agent, &search.service, search.question(flow));
@@ -85,32 +92,32 @@
         // Fewer than the type holds.
         search.messages += wave.len() as u32;
         search.waiting.extend(wave);
-        self.await_wave(flow, search, now);
+        self.start_wave_timer(flow, search, now);
     }
 
-    fn await_wave(&mut self, flow: Flow, search: &mut Search, now: Instant) {
-        let due = now + self.answer_time();
+    fn start_wave_timer(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
+        let due = now + self.response_timeout();
         search.since = Some(now);
         search.due = Some(due);
         self.due.put(due, flow);
     }
 
     /// Takes an agent's answer to a question.
-    pub(super) fn answer(
+    pub(super) fn handle_answer(
         &mut self,
         from: SocketAddrV4,
         answer: Answer,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
-        let Some(FlowState::Search(s)) = self.flows.get(answer.flow, now) else { return };
+        let Some(FlowState::Searching(s)) = self.flows.get(answer.flow, now) else { return };
         s.messages += 1;
-        s.named = answer.hint.or(s.named);
+        s.named_owner = answer.hint.or(s.named_owner);
         if let Some(since) = s.since.filter(|_| s.waiting.contains(&from)) {
             self.rtt.note(now.duration_since(since));
         }
         if answer.status == FlowStatus::Held {
-            self.held(from, answer.flow, now, out);
+            self.record_owner(from, answer.flow, now, out);
             return;
         }
         if let Some(hint) = answer.hint.filter(|h| *h != from && s.left.contains(h)) {
@@ -119,32 +126,32 @@
             s.messages += 1;
             let (service, question) = (s.service.clone(), s.question(answer.flow));
             self.queries.put(hint, &service, question);
-            if let Some(FlowState::Search(mut s)) = self.flows.remove(answer.flow) {
-                self.await_wave(answer.flow, &mut s, now);
-                self.flows.insert(answer.flow, FlowState::Search(s), now);
+            if let Some(FlowState::Searching(mut s)) = self.flows.remove(answer.flow) {
+                self.start_wave_timer(answer.flow, &mut s, now);
+                self.flows.insert(answer.flow, FlowState::Searching(s), now);
             }
         }
-        self.unknown(from, answer.flow, answer.status, now, out);
+        self.handle_denial(from, answer.flow, answer.status, now, out);
     }
 
-    pub(super) fn unknown(
+    pub(super) fn handle_denial(
         &mut self,
         from: SocketAddrV4,
         flow: Flow,
         status: FlowStatus,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         match self.flows.get(flow, now) {
-            Some(FlowState::At { agent, .. }) if *agent == from => {
+            Some(FlowState::Owned { agent, .. }) if *agent == from => {
                 self.flows.remove(flow);
             }
-            Some(FlowState::Search(s)) => {
-                s.answered(from, status);
+            Some(FlowState::Searching(s)) => {
+                s.record_answer(from, status);
                 let done = s.waiting.is_empty();
-                self.try_named(flow, out);
+                self.try_named_owner(flow, out);
                 if done {
-                    self.go_on(flow, now, out);
+                    self.advance_search(flow, now, out);
                 }
             }
             _ => {}
@@ -152,28 +159,33 @@
     }
 
     /// A wave is over: the next is asked, or the round decided.
-    fn go_on(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
-        let Some(FlowState::Search(s)) = self.flows.peek(flow) else { return };
+    fn advance_search(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
+        let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         if !s.left.is_empty() {
-            let Some(FlowState::Search(mut s)) = self.flows.remove(flow) else { return };
-            self.ask_wave(flow, &mut s, now);
-            self.flows.insert(flow, FlowState::Search(s), now);
+            let Some(FlowState::Searching(mut s)) = self.flows.remove(flow) else { return };
+            self.query_wave(flow, &mut s, now);
+            self.flows.insert(flow, FlowState::Searching(s), now);
         } else if s.silent.is_empty() {
-            let lost = s.lost();
-            self.resolve(flow, lost, now, out);
+            let lost = s.is_lost();
+            self.finish_round(flow, lost, now, out);
         } else {
             self.resolve_on_timeout(flow, now, out);
         }
     }
 
     /// Some agents of the wave did not answer in time.
-    pub(super) fn unanswered(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
-        let Some(FlowState::Search(mut s)) = self.flows.remove(flow) else { return };
-        let unsent = s.waiting.iter().any(|a| self.queries.waits(*a, flow));
+    pub(super) fn handle_wave_timeout(
+        &mut self,
+        flow: Flow,
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
+        let Some(FlowState::Searching(mut s)) = self.flows.remove(flow) else { return };
+        let unsent = s.waiting.iter().any(|a| self.queries.is_queued(*a, flow));
         if unsent {
             // The budget has not allowed the question yet.
-            self.await_wave(flow, &mut s, now);
-            self.flows.insert(flow, FlowState::Search(s), now);
+            self.start_wave_timer(flow, &mut s, now);
+            self.flows.insert(flow, FlowState::Searching(s), now);
             return;
         }
         let silent = std::mem::take(&mut s.waiting);
@@ -183,15 +195,20 @@
             "flow's owner not found"
         );
         for agent in &silent {
-            self.roster.missed(*agent, now);
+            self.roster.record_timeout(*agent, now);
         }
         s.silent.extend(silent);
-        self.flows.insert(flow, FlowState::Search(s), now);
-        self.go_on(flow, now, out);
+        self.flows.insert(flow, FlowState::Searching(s), now);
+        self.advance_search(flow, now, out);
     }
 
     /// The owner of a flow was found: it gets the packets kept.
-    pub(super) fn found(&mut self, from: SocketAddrV4, search: Search, out: &mut impl Out) {
+    pub(super) fn forward_buffered(
+        &mut self,
+        from: SocketAddrV4,
+        search: OwnerSearch,
+        out: &mut impl Transmit,
+    ) {
         self.kept -= search.bytes();
         if search.messages > 0 {
             metrics::searched(search.messages);
@@ -202,7 +219,7 @@
         }
         let message = Message::Carry { service: &search.service, mode: Mode::Owner };
         for packet in &search.packets {
-            out.agent(from, &message, packet);
+            out.send_to_agent(from, &message, packet);
         }
     }
 }
--- a/src/steer/queries.rs
+++ b/src/steering/queries.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::Out;
-use crate::budget::Bucket;
+use super::Transmit;
 use crate::bus::{Ask, Message, QUESTIONS, Question};
 use crate::flow::Flow;
+use crate::token_bucket::TokenBucket;
 
 #[derive(Debug, Default)]
 struct Queue {
@@ -22,8 +22,8 @@
 pub struct Queries {
     queues: BTreeMap<SocketAddrV4, Queue>,
     /// Agents with questions, those that have waited longest first.
-    turns: VecDeque<SocketAddrV4>,
-    budget: Bucket,
+    round_robin: VecDeque<SocketAddrV4>,
+    budget: TokenBucket,
     /// Datagrams a second.
     rate: f64,
 }
@@ -32,7 +32,12 @@
     /// No questions, and at most `rate` datagrams a second, `burst` at once.
     #[must_use]
     pub const fn new(rate: f64, burst: f64) -> Self {
-        Self { queues: BTreeMap::new(), turns: VecDeque::new(), budget: Bucket::new(burst), rate }
+        Self {
+            queues: BTreeMap::new(),
+            round_robin: VecDeque::new(),
+            budget: TokenBucket::new(burst),
+            rate,
+        }
     }
 
     /// Queries `agent`, beside a target of `service`.
@@ -40,7 +45,7 @@
         let queue = self.queues.entry(agent).or_default();
         if queue.questions.is_empty() {
             queue.service = service.clone();
-            self.turns.push_back(agent);
+            self.round_robin.push_back(agent);
         }
         if !queue.questions.iter().any(|q| q.flow == question.flow) {
             queue.questions.push_back(question);
@@ -49,34 +54,38 @@
 
     /// Whether `agent` is still to be asked for `flow`.
     #[must_use]
-    pub fn waits(&self, agent: SocketAddrV4, flow: Flow) -> bool {
+    pub fn is_queued(&self, agent: SocketAddrV4, flow: Flow) -> bool {
         let queue = self.queues.get(&agent);
         queue.is_some_and(|q| q.questions.iter().any(|x| x.flow == flow))
     }
 
     /// Sends what the budget allows.
-    pub fn send(&mut self, now: Instant, out: &mut impl Out) {
-        self.budget.fill(self.rate, now);
-        while let Some(agent) = self.turns.front().copied() {
-            if !self.budget.take() {
+    pub fn send_queued(&mut self, now: Instant, out: &mut impl Transmit) {
+        self.budget.refill(self.rate, now);
+        while let Some(agent) = self.round_robin.front().copied() {
+            if !self.budget.try_take() {
                 return;
             }
-            self.turns.pop_front();
+            self.round_robin.pop_front();
             let Some(queue) = self.queues.get_mut(&agent) else { continue };
             let part = queue.questions.len().min(QUESTIONS);
             let questions = queue.questions.drain(..part).collect();
-            out.agent(agent, &Message::Ask(Ask { service: &queue.service, questions }), &[]);
+            out.send_to_agent(
+                agent,
+                &Message::Ask(Ask { service: &queue.service, questions }),
+                &[],
+            );
             if queue.questions.is_empty() {
                 self.queues.remove(&agent);
             } else {
-                self.turns.push_back(agent);
+                self.round_robin.push_back(agent);
             }
         }
     }
 
     /// When the budget allows the next question, if one waits.
     #[must_use]
-    pub fn next(&self, now: Instant) -> Option<Instant> {
-        (!self.turns.is_empty()).then(|| now + self.budget.wait(self.rate))
+    pub fn next_send(&self, now: Instant) -> Option<Instant> {
+        (!self.round_robin.is_empty()).then(|| now + self.budget.time_to_token(self.rate))
     }
 }
--- a/src/steer/resolve.rs
+++ b/src/steering/resolve.rs
@@ -4,21 +4,21 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-use super::{FlowState, Out, Steer, refuse_at};
+use super::{FlowState, FlowSteering, Transmit, send_refusal};
 use crate::flow::Flow;
 use crate::metrics::{self, Refusal};
 
-impl Steer {
+impl FlowSteering {
     /// Resolves a search in which every agent was asked and some do not answer.
     /// Those that are long gone count as denying the flow, if most agents answered:
     /// a balancer cut off from most of them knows nothing.
-    pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
-        let Some(FlowState::Search(s)) = self.flows.peek(flow) else { return };
-        let gone = s.silent.iter().all(|a| self.roster.gone(*a, now));
+    pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
+        let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
+        let gone = s.silent.iter().all(|a| self.roster.is_dead(*a, now));
         let most = s.silent.len() * 2 < usize::try_from(s.agents).unwrap_or(usize::MAX);
         let lost = gone && most && s.unverified.is_empty();
-        if lost || s.silent.iter().all(|a| self.unreachable(*a, now)) {
-            self.resolve(flow, lost, now, out);
+        if lost || s.silent.iter().all(|a| self.is_unreachable(*a, now)) {
+            self.finish_round(flow, lost, now, out);
         } else {
             self.end_round(flow);
         }
@@ -28,15 +28,21 @@
     /// than a restart takes, or it has left with its target. Without the second,
     /// a release, in which some agent always is on its way out, would hold up
     /// every search until it is over.
-    fn unreachable(&self, agent: SocketAddrV4, now: Instant) -> bool {
-        let left = self.sees_since.is_some() && self.roster.left(agent);
-        left || self.roster.silent_for(agent, self.policy.restart_wait, now)
+    fn is_unreachable(&self, agent: SocketAddrV4, now: Instant) -> bool {
+        let left = self.store_up_since.is_some() && self.roster.has_left(agent);
+        left || self.roster.is_silent_for(agent, self.policy.restart_wait, now)
     }
 
     /// Ends the round: the flow is lost, or targets are tried.
-    pub(super) fn resolve(&mut self, flow: Flow, lost: bool, now: Instant, out: &mut impl Out) {
+    pub(super) fn finish_round(
+        &mut self,
+        flow: Flow,
+        lost: bool,
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
         self.end_round(flow);
-        if lost && self.sees_since.is_some() {
+        if lost && self.store_up_since.is_some() {
             self.reset_lost(flow, out);
         } else {
             self.try_unverified(flow, now, out);
@@ -44,7 +50,7 @@
     }
 
     fn end_round(&mut self, flow: Flow) {
-        let Some(FlowState::Search(s)) = self.flows.peek_mut(flow) else { return };
+        let Some(FlowState::Searching(s)) = self.flows.peek_mut(flow) else { return };
         let before = s.bytes();
         s.due = None;
         s.keep_last();
@@ -53,24 +59,24 @@
     }
 
     /// Resets a flow whose target is gone, so that its caller can come again at once.
-    fn reset_lost(&mut self, flow: Flow, out: &mut impl Out) {
-        if let Some(FlowState::Search(s)) = self.flows.remove(flow) {
+    fn reset_lost(&mut self, flow: Flow, out: &mut impl Transmit) {
+        if let Some(FlowState::Searching(s)) = self.flows.remove(flow) {
             self.kept -= s.bytes();
-            refuse_at(flow, s.ack, Refusal::Lost, out);
+            send_refusal(flow, s.ack, Refusal::Lost, out);
         }
     }
 
     /// The agent that is named as the flow's owner may have forgotten it: has it
     /// try its target at once, without waiting for what others say.
-    pub(super) fn try_named(&mut self, flow: Flow, out: &mut impl Out) {
+    pub(super) fn try_named_owner(&mut self, flow: Flow, out: &mut impl Transmit) {
         let most = self.policy.max_trials;
-        let Some(FlowState::Search(s)) = self.flows.peek_mut(flow) else { return };
+        let Some(FlowState::Searching(s)) = self.flows.peek_mut(flow) else { return };
         let fresh = |a: &SocketAddrV4| s.unverified.contains(a) && !s.tried.contains(a);
-        let Some(named) = s.named.filter(fresh) else { return };
+        let Some(named) = s.named_owner.filter(fresh) else { return };
         if s.tried.len() >= most {
             return;
         }
-        if s.try_at(&[named], out) {
+        if s.forward_trial(&[named], out) {
             s.trial = Some(named);
         }
     }
@@ -80,21 +86,21 @@
     /// gave it back, all others at once, if the flow's own must be among them:
     /// every agent of the service answered or has left, and the list of them is
     /// current.
-    fn try_unverified(&mut self, flow: Flow, now: Instant, out: &mut impl Out) {
+    fn try_unverified(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let trials = self.policy.max_trials;
-        let Some(FlowState::Search(s)) = self.flows.peek(flow) else { return };
+        let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         if s.trial.is_some_and(|a| s.unverified.contains(&a)) {
             return;
         }
-        let every = s.all_queried() && s.silent.iter().all(|a| self.roster.left(*a));
-        let complete = every && self.roster_current(now);
-        let Some(FlowState::Search(s)) = self.flows.get(flow, now) else { return };
-        let mut left = self.roster.likely(&s.unverified, &self.zone, flow);
+        let every = s.all_queried() && s.silent.iter().all(|a| self.roster.has_left(*a));
+        let complete = every && self.is_roster_current(now);
+        let Some(FlowState::Searching(s)) = self.flows.get(flow, now) else { return };
+        let mut left = self.roster.rank_by_likelihood(&s.unverified, &self.zone, flow);
         left.retain(|a| !s.tried.contains(a));
-        let all = complete && s.tried.len() >= trials && !s.trying();
+        let all = complete && s.tried.len() >= trials && !s.has_pending_trial();
         if !all {
             left.truncate(trials.saturating_sub(s.tried.len()));
         }
-        s.try_at(&left, out);
+        s.forward_trial(&left, out);
     }
 }
--- a/src/steer/roster.rs
+++ b/src/steering/roster.rs
@@ -13,17 +13,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Out;
+use super::Transmit;
 use crate::agent::place::UNABLE;
-use crate::budget::Bucket;
 use crate::bus::{FlowStatus, Message};
 use crate::flow::Flow;
 use crate::hold::Start;
 use crate::policy::SuspicionPolicy;
+use crate::token_bucket::TokenBucket;
 
 /// An agent as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announced {
+pub struct ListedAgent {
     /// Address at which it talks to balancers.
     pub addr: SocketAddrV4,
     /// Its data centre.
@@ -44,7 +44,7 @@
     /// It said that no process of its target runs.
     ended: bool,
     /// Since when the store does not list it.
-    unlisted: Option<Instant>,
+    unlisted_since: Option<Instant>,
     /// Its load as it last said.
     load: u32,
     /// When it last said anything, or was first listed.
@@ -52,34 +52,34 @@
     /// It did not answer, since when.
     silent: Option<Instant>,
     /// When it was last asked whether it is there.
-    pinged: Option<Instant>,
+    last_ping: Option<Instant>,
     /// Whether it was asked since it last said anything and since its entry went.
     asked: bool,
     /// Until when its turn to be asked had not come.
-    deferred: Option<Instant>,
+    deferred_until: Option<Instant>,
 }
 
 impl Agent {
     fn is_suspected(&self) -> bool {
-        self.unlisted.is_some() || self.silent.is_some()
+        self.unlisted_since.is_some() || self.silent.is_some()
     }
 
     fn kept(&self, keep: Duration, now: Instant) -> bool {
-        let since = |at: Instant| at.max(self.heard).max(self.deferred.unwrap_or(at));
-        self.unlisted.is_none_or(|at| now.duration_since(since(at)) < keep)
+        let since = |at: Instant| at.max(self.heard).max(self.deferred_until.unwrap_or(at));
+        self.unlisted_since.is_none_or(|at| now.duration_since(since(at)) < keep)
     }
 
     /// Its turn to be asked has not come before `now`: the time that it has to
     /// answer begins then, unless it was asked before.
     fn defer(&mut self, now: Instant) {
         if !self.asked {
-            self.deferred = Some(now);
+            self.deferred_until = Some(now);
         }
     }
 
     /// Whether it answers and did not say within `unable` that it can take
     /// nothing.
-    fn able(&self, unable: Duration, now: Instant) -> bool {
+    fn accepts_flows(&self, unable: Duration, now: Instant) -> bool {
         let unable = self.load == UNABLE && now.duration_since(self.heard) < unable;
         self.silent.is_none() && !unable
     }
@@ -87,7 +87,7 @@
 
 /// Least pause between two looks for agents to ask while the budget is spent: each
 /// goes through all agents.
-const TURN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The agents by address and by service.
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     /// When the next question is due; none while no agent is suspected.
     due: Option<Instant>,
     /// Questions to suspected agents that may be asked.
-    pings: Bucket,
+    pings: TokenBucket,
 }
 
 impl Default for Roster {
@@ -113,13 +113,13 @@
     #[must_use]
     pub fn new(suspicion: SuspicionPolicy) -> Self {
         // What comes in between two looks must not be lost.
-        let burst = f64::from(suspicion.ping_rate) * 2.0 * TURN.as_secs_f64();
+        let burst = f64::from(suspicion.ping_rate) * 2.0 * RETRY_INTERVAL.as_secs_f64();
         Self {
             suspicion,
             agents: BTreeMap::new(),
             services: HashMap::new(),
             due: None,
-            pings: Bucket::new(burst.max(1.0)),
+            pings: TokenBucket::new(burst.max(1.0)),
         }
     }
 
@@ -139,7 +139,7 @@
     /// meanwhile, so that time does not count as silence.
     pub fn resume(&mut self, paused: Duration) {
         for a in self.agents.values_mut() {
-            for since in [&mut a.silent, &mut a.unlisted, &mut a.deferred] {
+            for since in [&mut a.silent, &mut a.unlisted_since, &mut a.deferred_until] {
                 *since = since.map(|at| at + paused);
             }
         }
@@ -147,18 +147,18 @@
 
     /// Takes in the agents that the store lists now; says whether any came or
     /// went.
-    pub fn update(&mut self, announced: &[Announced], now: Instant) -> bool {
+    pub fn update(&mut self, announced: &[ListedAgent], now: Instant) -> bool {
         let listed: HashSet<SocketAddrV4> = announced.iter().map(|a| a.addr).collect();
         let mut changed = false;
         for (addr, a) in &mut self.agents {
-            if a.unlisted.is_none() && !listed.contains(addr) {
-                a.unlisted = Some(now);
+            if a.unlisted_since.is_none() && !listed.contains(addr) {
+                a.unlisted_since = Some(now);
                 a.asked = false;
                 changed = true;
             }
         }
         for a in announced {
-            changed |= self.list(a, now);
+            changed |= self.insert_listed(a, now);
         }
         if self.agents.values().any(Agent::is_suspected) {
             self.due = Some(now);
@@ -167,7 +167,7 @@
     }
 
     /// Takes in one agent that the store lists; says whether that is new.
-    fn list(&mut self, a: &Announced, now: Instant) -> bool {
+    fn insert_listed(&mut self, a: &ListedAgent, now: Instant) -> bool {
         match self.agents.get_mut(&a.addr) {
             Some(known) if known.service == a.service => {
                 known.zone = a.zone.clone();
@@ -175,7 +175,7 @@
                     known.target = a.target.clone();
                     known.ended = false;
                 }
-                known.unlisted.take().is_some()
+                known.unlisted_since.take().is_some()
             }
             _ => {
                 self.remove(a.addr);
@@ -185,19 +185,19 @@
         }
     }
 
-    fn insert(&mut self, a: &Announced, now: Instant) {
+    fn insert(&mut self, a: &ListedAgent, now: Instant) {
         let agent = Agent {
             zone: a.zone.clone(),
             service: a.service.clone(),
             target: a.target.clone(),
             ended: false,
-            unlisted: None,
+            unlisted_since: None,
             load: 0,
             heard: now,
             silent: None,
-            pinged: None,
+            last_ping: None,
             asked: false,
-            deferred: None,
+            deferred_until: None,
         };
         self.agents.insert(a.addr, agent);
         self.services.entry(a.service.clone()).or_default().push(a.addr);
@@ -216,19 +216,19 @@
     }
 
     /// Every agent of `service`.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = SocketAddrV4> {
+    pub fn agents_of(&self, service: &str) -> impl Iterator<Item = SocketAddrV4> {
         self.services.get(service).into_iter().flatten().copied()
     }
 
     /// Whether the agent is known and answers.
     #[must_use]
-    pub fn answers(&self, addr: SocketAddrV4) -> bool {
+    pub fn is_responsive(&self, addr: SocketAddrV4) -> bool {
         self.agents.get(&addr).is_some_and(|a| a.silent.is_none())
     }
 
     /// Each agent with what is believed of it, as JSON.
     #[must_use]
-    pub fn beliefs(&self, now: Instant) -> Vec<serde_json::Value> {
+    pub fn state_json(&self, now: Instant) -> Vec<serde_json::Value> {
         let mut agents: Vec<_> = self.agents.iter().collect();
         agents.sort_by_key(|(addr, _)| **addr);
         let age = |at: Instant| now.duration_since(at).as_millis();
@@ -240,7 +240,7 @@
                 "load": if a.load == UNABLE { None } else { Some(a.load) },
                 "heard_ms": age(a.heard),
                 "silent_ms": a.silent.map(age),
-                "unlisted_ms": a.unlisted.map(age),
+                "unlisted_ms": a.unlisted_since.map(age),
                 "target_ended": a.ended,
             })
         };
@@ -250,7 +250,7 @@
     /// Whether there are agents and none of them answers: the balancer is cut
     /// off from them, and another should have its callers.
     #[must_use]
-    pub fn cut_off(&self) -> bool {
+    pub fn all_silent(&self) -> bool {
         !self.agents.is_empty() && self.agents.values().all(|a| a.silent.is_some())
     }
 
@@ -259,19 +259,19 @@
     /// ended. The second keeps a VM that goes dark with its target from holding up
     /// what becomes of every other flow of the service.
     #[must_use]
-    pub fn gone(&self, addr: SocketAddrV4, now: Instant) -> bool {
-        self.over(addr) || self.silent_for(addr, self.suspicion.dead_after, now)
+    pub fn is_dead(&self, addr: SocketAddrV4, now: Instant) -> bool {
+        self.target_ended(addr) || self.is_silent_for(addr, self.suspicion.dead_after, now)
     }
 
     /// Whether the agent is silent and last said that its target had ended.
     #[must_use]
-    pub fn over(&self, addr: SocketAddrV4) -> bool {
+    pub fn target_ended(&self, addr: SocketAddrV4) -> bool {
         self.agents.get(&addr).is_none_or(|a| a.ended && a.silent.is_some())
     }
 
     /// Whether the agent has not answered for `span` or longer.
     #[must_use]
-    pub fn silent_for(&self, addr: SocketAddrV4, span: Duration, now: Instant) -> bool {
+    pub fn is_silent_for(&self, addr: SocketAddrV4, span: Duration, now: Instant) -> bool {
         let silent = self.agents.get(&addr).map(|a| a.silent);
         silent.is_none_or(|s| s.is_some_and(|at| now.duration_since(at) >= span))
     }
@@ -281,13 +281,13 @@
     /// have ended; one that restarts stays listed, and one whose entry was taken
     /// away answers.
     #[must_use]
-    pub fn left(&self, addr: SocketAddrV4) -> bool {
-        let unlisted = self.agents.get(&addr).is_none_or(|a| a.unlisted.is_some());
-        self.over(addr) || unlisted && !self.answers(addr)
+    pub fn has_left(&self, addr: SocketAddrV4) -> bool {
+        let unlisted = self.agents.get(&addr).is_none_or(|a| a.unlisted_since.is_some());
+        self.target_ended(addr) || unlisted && !self.is_responsive(addr)
     }
 
     /// An agent said something; `load` is its load now.
-    pub fn heard(&mut self, addr: SocketAddrV4, load: u32, now: Instant) {
+    pub fn record_contact(&mut self, addr: SocketAddrV4, load: u32, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr) {
             a.load = load;
             a.heard = now;
@@ -299,7 +299,7 @@
     }
 
     /// An agent answered `status` of a flow.
-    pub fn said(&mut self, addr: SocketAddrV4, status: FlowStatus) {
+    pub fn record_status(&mut self, addr: SocketAddrV4, status: FlowStatus) {
         if let Some(a) = self.agents.get_mut(&addr) {
             match status {
                 FlowStatus::Ended => a.ended = true,
@@ -314,15 +314,15 @@
     }
 
     /// An agent answered a question: its target runs `service`.
-    pub fn pong(&mut self, addr: SocketAddrV4, service: &str, load: u32, now: Instant) {
+    pub fn handle_pong(&mut self, addr: SocketAddrV4, service: &str, load: u32, now: Instant) {
         if self.agents.get(&addr).is_some_and(|a| &*a.service != service) {
             self.remove(addr);
         }
-        self.heard(addr, load, now);
+        self.record_contact(addr, load, now);
     }
 
     /// An agent did not answer in time.
-    pub fn missed(&mut self, addr: SocketAddrV4, now: Instant) {
+    pub fn record_timeout(&mut self, addr: SocketAddrV4, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr)
             && now.duration_since(a.heard) >= self.suspicion.silence_grace
         {
@@ -342,7 +342,7 @@
     /// flows again after agents and balancers have lost their memory together
     /// (see [`Roster::likely`]).
     #[must_use]
-    pub fn pick(
+    pub fn choose_pair(
         &self,
         service: &str,
         zone: &str,
@@ -351,8 +351,9 @@
         except: &[SocketAddrV4],
         now: Instant,
     ) -> Option<(SocketAddrV4, Option<SocketAddrV4>)> {
-        let left: Vec<SocketAddrV4> = self.of(service).filter(|a| !except.contains(a)).collect();
-        let able = |a: &SocketAddrV4| self.agents[a].able(self.suspicion.unable_ttl, now);
+        let left: Vec<SocketAddrV4> =
+            self.agents_of(service).filter(|a| !except.contains(a)).collect();
+        let able = |a: &SocketAddrV4| self.agents[a].accepts_flows(self.suspicion.unable_ttl, now);
         let near = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
         let first = first
             .or_else(|| preferred(&left, flow, |a| able(a) && near(a)))
@@ -362,14 +363,19 @@
         // Never one that does not answer: the first may pass the open on to it,
         // and it would be lost there.
         let second = preferred(&left, flow, |a| other(a) && able(a))
-            .or_else(|| preferred(&left, flow, |a| other(a) && self.answers(*a)));
+            .or_else(|| preferred(&left, flow, |a| other(a) && self.is_responsive(*a)));
         Some((first, second))
     }
 
     /// `agents` in the order in which they are likely to have been offered
     /// `flow` when it opened: as [`Roster::pick`] would choose now.
     #[must_use]
-    pub fn likely(&self, agents: &[SocketAddrV4], zone: &str, flow: Flow) -> Vec<SocketAddrV4> {
+    pub fn rank_by_likelihood(
+        &self,
+        agents: &[SocketAddrV4],
+        zone: &str,
+        flow: Flow,
+    ) -> Vec<SocketAddrV4> {
         let near = |a: &SocketAddrV4| self.agents.get(a).is_some_and(|x| &*x.zone == zone);
         let first = preferred(agents, flow, near);
         let mut order = agents.to_vec();
@@ -380,8 +386,9 @@
     /// The agent that is asked first for `flow` by balancers of `zone`, and
     /// offered it first where it can take flows.
     #[must_use]
-    pub fn home(&self, service: &str, zone: &str, flow: Flow) -> Option<SocketAddrV4> {
-        let all: Vec<SocketAddrV4> = self.of(service).filter(|a| self.answers(*a)).collect();
+    pub fn home_agent(&self, service: &str, zone: &str, flow: Flow) -> Option<SocketAddrV4> {
+        let all: Vec<SocketAddrV4> =
+            self.agents_of(service).filter(|a| self.is_responsive(*a)).collect();
         let near = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
         preferred(&all, flow, near).or_else(|| preferred(&all, flow, |_| true))
     }
@@ -395,7 +402,7 @@
     /// Asks the suspected agents, those that have waited longest first, as
     /// far as the budget goes, and drops those that the store does not list and
     /// that had their turn and have not answered in time.
-    pub fn ping(&mut self, now: Instant, out: &mut impl Out) {
+    pub fn ping_suspects(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.due.is_none_or(|at| at > now) {
             return;
         }
@@ -408,29 +415,29 @@
         for addr in dropped {
             self.remove(addr);
         }
-        self.pings.fill(self.suspicion.ping_rate.into(), now);
+        self.pings.refill(self.suspicion.ping_rate.into(), now);
         let pause = self.suspicion.ping_interval;
-        let due = |a: &Agent| a.pinged.is_none_or(|at| now.duration_since(at) >= pause);
+        let due = |a: &Agent| a.last_ping.is_none_or(|at| now.duration_since(at) >= pause);
         let mut waiting: Vec<_> =
             self.agents.iter_mut().filter(|(_, a)| a.is_suspected() && due(a)).collect();
-        waiting.sort_by_key(|(_, a)| a.pinged);
+        waiting.sort_by_key(|(_, a)| a.last_ping);
         let mut spent = false;
         for (addr, a) in waiting {
-            if spent || !self.pings.take() {
+            if spent || !self.pings.try_take() {
                 spent = true;
                 a.defer(now);
                 continue;
             }
-            if a.deferred.is_some() {
+            if a.deferred_until.is_some() {
                 a.defer(now);
             }
-            a.pinged = Some(now);
+            a.last_ping = Some(now);
             a.asked = true;
-            out.agent(*addr, &Message::Ping { listed: a.unlisted.is_none() }, &[]);
+            out.send_to_agent(*addr, &Message::Ping { listed: a.unlisted_since.is_none() }, &[]);
         }
         let suspected = self.agents.values().filter(|a| a.is_suspected());
-        let next = suspected.filter_map(|a| a.pinged).min().map(|at| at + pause);
-        self.due = if spent { Some(now + TURN) } else { next };
+        let next = suspected.filter_map(|a| a.last_ping).min().map(|at| at + pause);
+        self.due = if spent { Some(now + RETRY_INTERVAL) } else { next };
     }
 }
 
--- a/src/steer/routes.rs
+++ b/src/steering/routes.rs
@@ -15,9 +15,9 @@
     /// Its version; a newer one has a higher number.
     pub version: u64,
     /// Routes by the address that callers call.
-    pub routes: HashMap<SocketAddrV4, Route>,
+    pub by_address: HashMap<SocketAddrV4, Route>,
     /// A flow without packets for this long may be forgotten.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One route.
@@ -26,14 +26,15 @@
     /// Its name.
     pub name: Arc<str>,
     /// The services that serve it, by weight.
-    pub services: Vec<Share>,
+    pub services: Vec<WeightedService>,
     /// Time limit of one request.
-    pub limit: Duration,
+    #[serde(rename = "limit")]
+    pub request_timeout: Duration,
 }
 
 /// One service's part in a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: Arc<str>,
     /// Its weight among the route's services.
@@ -45,14 +46,14 @@
 impl Routes {
     /// The service for `flow`: the same at every balancer with this version.
     #[must_use]
-    pub fn share(&self, flow: Flow) -> Option<&Share> {
-        self.find(flow).map(|(_, share)| share)
+    pub fn service_for(&self, flow: Flow) -> Option<&WeightedService> {
+        self.route_for(flow).map(|(_, share)| share)
     }
 
     /// The route of `flow`, and the service for it.
     #[must_use]
-    pub fn find(&self, flow: Flow) -> Option<(&Route, &Share)> {
-        let route = self.routes.get(&flow.service)?;
+    pub fn route_for(&self, flow: Flow) -> Option<(&Route, &WeightedService)> {
+        let route = self.by_address.get(&flow.service)?;
         let services = &route.services;
         let total: u64 = services.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
--- a/src/steer/search.rs
+++ b/src/steering/search.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::Out;
+use super::Transmit;
 use crate::bus::{FlowStatus, Message, Mode, Question};
 use crate::flow::{Flow, Segment};
 use crate::metrics;
@@ -14,14 +14,14 @@
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
-pub struct Search {
+pub struct OwnerSearch {
     /// The service it is for.
     pub service: Arc<str>,
     /// Packets that have come meanwhile; of a search that found nobody, the last.
     pub(super) packets: VecDeque<Vec<u8>>,
     /// The caller's last acknowledgement, and whether there was one.
     pub(super) ack: u32,
-    pub(super) acked: bool,
+    pub(super) has_ack: bool,
     /// When the wave's time to answer is over; none once the round is decided.
     pub due: Option<Instant>,
     /// When the wave was asked.
@@ -29,7 +29,7 @@
     /// Agents that the round is to ask, in order.
     pub(super) left: VecDeque<SocketAddrV4>,
     /// Waves of the round so far.
-    pub(super) wave: usize,
+    pub(super) wave_index: usize,
     /// Agents of the service.
     pub agents: u32,
     /// Agents asked that have not answered.
@@ -41,18 +41,18 @@
     /// Agents whose targets were tried, by this balancer or another.
     pub tried: Vec<SocketAddrV4>,
     /// The agent that was named as the flow's owner.
-    pub(super) named: Option<SocketAddrV4>,
+    pub(super) named_owner: Option<SocketAddrV4>,
     /// The named one, while its target is tried.
     pub(super) trial: Option<SocketAddrV4>,
     /// Questions and answers of the round.
     pub(super) messages: u32,
 }
 
-impl Search {
+impl OwnerSearch {
     /// Whether every agent of the service said that its target does
     /// not hold the flow: the target that did is gone.
     #[must_use]
-    pub fn lost(&self) -> bool {
+    pub fn is_lost(&self) -> bool {
         self.agents > 0 && self.all_answered() && self.unverified.is_empty()
     }
 
@@ -68,7 +68,7 @@
 
     /// An agent answered that it does not know the flow, or may have forgotten
     /// it ([`FlowStatus::Unverified`]), or that its target was tried ([`FlowStatus::NotOwner`]).
-    pub(super) fn answered(&mut self, from: SocketAddrV4, status: FlowStatus) {
+    pub(super) fn record_answer(&mut self, from: SocketAddrV4, status: FlowStatus) {
         self.left.retain(|a| *a != from);
         for list in [&mut self.waiting, &mut self.silent, &mut self.unverified] {
             list.retain(|a| *a != from);
@@ -82,19 +82,19 @@
     }
 
     /// Whether a target that is being tried has not answered yet.
-    pub(super) fn trying(&self) -> bool {
+    pub(super) fn has_pending_trial(&self) -> bool {
         self.unverified.iter().any(|a| self.tried.contains(a))
     }
 
     /// Takes the agents of the next wave out of those left.
     pub(super) fn next_wave(&mut self, waves: &[usize]) -> Vec<SocketAddrV4> {
-        let size = waves.get(self.wave).copied().unwrap_or(usize::MAX);
-        self.wave += 1;
+        let size = waves.get(self.wave_index).copied().unwrap_or(usize::MAX);
+        self.wave_index += 1;
         self.left.drain(..size.min(self.left.len())).collect()
     }
 
     pub(super) const fn question(&self, flow: Flow) -> Question {
-        Question { flow, ack: if self.acked { Some(self.ack) } else { None } }
+        Question { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
     }
 
     /// Bytes of the packets kept.
@@ -111,14 +111,14 @@
 
     /// Keeps a packet of the flow, if `policy` has room for it beside the `others`
     /// bytes kept for other flows.
-    pub(super) fn keep(
+    pub(super) fn buffer_packet(
         &mut self,
         seg: &Segment,
         packet: &[u8],
         others: usize,
         policy: &BalancerPolicy,
     ) {
-        self.acked = seg.flags.ack;
+        self.has_ack = seg.flags.ack;
         self.ack = seg.ack;
         let room = others + self.bytes() + packet.len() <= policy.buffer_bytes;
         if self.packets.is_empty() || room && self.packets.len() < policy.buffer_packets {
@@ -130,11 +130,15 @@
 
     /// Has `agents` try their targets with the flow's last packet; says whether
     /// there was one.
-    pub(super) fn try_at(&mut self, agents: &[SocketAddrV4], out: &mut impl Out) -> bool {
+    pub(super) fn forward_trial(
+        &mut self,
+        agents: &[SocketAddrV4],
+        out: &mut impl Transmit,
+    ) -> bool {
         let Some(packet) = self.packets.back() else { return false };
         let message = Message::Carry { service: &self.service, mode: Mode::Try };
         for agent in agents {
-            out.agent(*agent, &message, packet);
+            out.send_to_agent(*agent, &message, packet);
         }
         self.tried.extend(agents);
         true
--- a/src/steer/state.rs
+++ b/src/steering/state.rs
@@ -4,55 +4,55 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::Share;
-use super::search::Search;
+use super::WeightedService;
+use super::search::OwnerSearch;
 
 /// What is known of a flow.
 #[derive(Debug)]
 pub enum FlowState {
     /// It is being opened.
-    Opening(Opening),
+    Opening(PendingOpen),
     /// An agent's target holds it.
-    At {
+    Owned {
         /// The agent.
         agent: SocketAddrV4,
         /// The service of its target.
         service: Arc<str>,
     },
     /// The service's agents are asked for its owner.
-    Search(Search),
+    Searching(OwnerSearch),
 }
 
 impl FlowState {
     /// By which rule the flow's packets go, in words.
     #[must_use]
-    pub fn rule(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Self::Opening(o) => format!("being opened, offered to {:?}", o.offered),
-            Self::At { agent, .. } => format!("held by the target of {agent}"),
-            Self::Search(s) => format!("owner asked for; unverified: {:?}", s.unverified),
+            Self::Opening(o) => format!("being opened, offered to {:?}", o.offered_to),
+            Self::Owned { agent, .. } => format!("held by the target of {agent}"),
+            Self::Searching(s) => format!("owner asked for; unverified: {:?}", s.unverified),
         }
     }
 
     /// Bytes of packets kept until its owner is known.
     #[must_use]
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         match self {
-            Self::Search(s) => s.bytes(),
-            Self::Opening(_) | Self::At { .. } => 0,
+            Self::Searching(s) => s.bytes(),
+            Self::Opening(_) | Self::Owned { .. } => 0,
         }
     }
 }
 
 /// An open that no agent has taken yet.
 #[derive(Debug)]
-pub struct Opening {
+pub struct PendingOpen {
     /// When the caller's first packet came.
     pub since: Instant,
     /// The caller's first sequence number, the same in each copy.
     pub seq: u32,
     /// How long it may be kept until an agent takes it.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The service it is for.
     pub service: Arc<str>,
     /// Open flows that a target of the service holds at most.
@@ -60,41 +60,47 @@
     /// The caller's packet.
     pub packet: Vec<u8>,
     /// The agents it was offered to in this round, in order.
-    pub offered: Vec<SocketAddrV4>,
+    pub offered_to: Vec<SocketAddrV4>,
     /// When it was last offered.
     pub asked: Instant,
     /// Offers that were not answered in time, and rounds that have ended: each
     /// lengthens the pause until the next.
     pub unanswered: u32,
     /// See `unanswered`.
-    pub rounds: u32,
+    pub round_count: u32,
     /// When to look at it again; entries of the queue for other times are old.
     pub due: Instant,
     /// Every agent of the round has answered; the next round comes at `due`.
-    pub resting: bool,
+    pub in_backoff: bool,
     /// Some of them did not answer or had not heard their target yet, so a
     /// refusal by the others is not final.
     pub inconclusive: bool,
 }
 
-impl Opening {
+impl PendingOpen {
     /// The open in `packet`, for `share`'s service, offered to nobody yet and
     /// kept for `patience` at most.
     #[must_use]
-    pub fn new(share: &Share, seq: u32, packet: &[u8], since: Instant, patience: Duration) -> Self {
+    pub fn new(
+        share: &WeightedService,
+        seq: u32,
+        packet: &[u8],
+        since: Instant,
+        patience: Duration,
+    ) -> Self {
         Self {
             since,
             seq,
-            patience,
+            timeout: patience,
             service: share.service.clone(),
             max_flows: share.max_flows,
             packet: packet.to_vec(),
-            offered: Vec::new(),
+            offered_to: Vec::new(),
             asked: since,
             unanswered: 0,
-            rounds: 0,
+            round_count: 0,
             due: since,
-            resting: false,
+            in_backoff: false,
             inconclusive: false,
         }
     }
--- a/src/budget/mod.rs
+++ b/src/token_bucket/mod.rs
@@ -13,32 +13,32 @@
 
 /// Tokens that come at a rate, up to a bound, and that work takes.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
-    most: f64,
+    capacity: f64,
     at: Option<Instant>,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `most` tokens.
     #[must_use]
     pub const fn new(most: f64) -> Self {
-        Self { tokens: most, most, at: None }
+        Self { tokens: most, capacity: most, at: None }
     }
 
     /// Adds what has come since the last call at `rate` tokens a second.
-    pub fn fill(&mut self, rate: f64, now: Instant) {
+    pub fn refill(&mut self, rate: f64, now: Instant) {
         let before = self.at.replace(now).unwrap_or(now);
         self.add(rate * now.saturating_duration_since(before).as_secs_f64());
     }
 
     /// Adds tokens.
     pub fn add(&mut self, tokens: f64) {
-        self.tokens = (self.tokens + tokens).min(self.most);
+        self.tokens = (self.tokens + tokens).min(self.capacity);
     }
 
     /// Takes a token, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let there = self.tokens >= 1.0;
         if there {
             self.tokens -= 1.0;
@@ -49,7 +49,7 @@
     /// How long at `rate` tokens a second until there is one; never so short
     /// that waiting for it would be a busy loop.
     #[must_use]
-    pub fn wait(&self, rate: f64) -> Duration {
+    pub fn time_to_token(&self, rate: f64) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         Duration::from_secs_f64((missing / rate.max(SLOWEST)).min(LONGEST_WAIT)).max(SHORTEST_WAIT)
     }
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -21,14 +21,14 @@
 #[test]
 fn config_read() {
     let routes = config::decode(CONFIG.as_bytes()).unwrap();
-    assert_eq!((routes.version, routes.routes.len()), (7, 2));
-    assert_eq!(routes.idle, Duration::from_secs(12));
-    let split = &routes.routes[&"198.18.0.1:8443".parse().unwrap()];
-    assert_eq!(split.limit, Duration::from_secs(3));
+    assert_eq!((routes.version, routes.by_address.len()), (7, 2));
+    assert_eq!(routes.idle_timeout, Duration::from_secs(12));
+    let split = &routes.by_address[&"198.18.0.1:8443".parse().unwrap()];
+    assert_eq!(split.request_timeout, Duration::from_secs(3));
     let parts: Vec<_> = split.services.iter().map(|s| (&*s.service, s.weight)).collect();
     assert_eq!(parts, [("meter", 90), ("fieldlog", 10)]);
     assert_eq!(split.services[0].max_flows, 2_000);
-    let plain = &routes.routes[&"198.18.0.2:443".parse().unwrap()];
+    let plain = &routes.by_address[&"198.18.0.2:443".parse().unwrap()];
     assert_eq!(&*plain.services[0].service, "fieldlog");
 }
 
@@ -54,7 +54,7 @@
         caller: std::net::SocketAddrV4::new([100, 64, 0, 1].into(), port),
         service: "198.18.0.1:8443".parse().unwrap(),
     });
-    let meter = flows.filter(|f| &*routes.share(*f).unwrap().service == "meter").count();
+    let meter = flows.filter(|f| &*routes.service_for(*f).unwrap().service == "meter").count();
     // 9,000 expected; six standard deviations are 180.
     assert!((8_820..=9_180).contains(&meter), "{meter}");
 }
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -11,7 +11,7 @@
 use jujubepost::flow::{Flags, Flow, Segment};
 use jujubepost::hold::{self, Holder, Report, State};
 use jujubepost::policy::BalancerPolicy;
-use jujubepost::steer::{self, Announced, Route, Routes, Share, Steer};
+use jujubepost::steering::{self, FlowSteering, ListedAgent, Route, Routes, WeightedService};
 use jujubepost::wire::Offer;
 
 /// A message as it was sent, owned.
@@ -127,12 +127,12 @@
     }
 }
 
-impl steer::Out for Wires {
-    fn agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+impl steering::Transmit for Wires {
+    fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         self.peers.push((to, Sent::of(message), packet.to_vec()));
     }
 
-    fn reset(&mut self, flow: Flow, seq: u32) {
+    fn send_reset(&mut self, flow: Flow, seq: u32) {
         self.resets.push((flow, seq));
     }
 }
@@ -212,14 +212,17 @@
 }
 
 pub fn routes(version: u64) -> Routes {
-    let share = Share { service: SERVICE.into(), weight: 1, max_flows: 2_000 };
-    let route =
-        Route { name: "r".into(), services: vec![share], limit: Duration::from_millis(3_000) };
-    Routes { version, routes: [(vip(), route)].into(), idle: Duration::from_secs(15) }
+    let share = WeightedService { service: SERVICE.into(), weight: 1, max_flows: 2_000 };
+    let route = Route {
+        name: "r".into(),
+        services: vec![share],
+        request_timeout: Duration::from_millis(3_000),
+    };
+    Routes { version, by_address: [(vip(), route)].into(), idle_timeout: Duration::from_secs(15) }
 }
 
-pub fn announced(n: u8) -> Announced {
-    Announced { addr: agent(n), zone: ZONE.into(), service: SERVICE.into(), target: None }
+pub fn announced(n: u8) -> ListedAgent {
+    ListedAgent { addr: agent(n), zone: ZONE.into(), service: SERVICE.into(), target: None }
 }
 
 /// An agent whose target it saw start.
@@ -231,16 +234,17 @@
 
 /// A balancer that knows `agents` agents and whose store has answered for
 /// long.
-pub fn steer(agents: u8, now: Instant) -> Steer {
+pub fn steer(agents: u8, now: Instant) -> FlowSteering {
     steer_with(agents, BalancerPolicy::default(), now)
 }
 
 /// The same with a policy.
-pub fn steer_with(agents: u8, policy: BalancerPolicy, now: Instant) -> Steer {
-    let mut s = Steer::new(balancer(), Arc::from(ZONE), Duration::from_secs(60)).policy(policy);
-    s.see(true, now - Duration::from_secs(60));
+pub fn steer_with(agents: u8, policy: BalancerPolicy, now: Instant) -> FlowSteering {
+    let mut s =
+        FlowSteering::new(balancer(), Arc::from(ZONE), Duration::from_secs(60)).with_policy(policy);
+    s.set_store_reachable(true, now - Duration::from_secs(60));
     s.apply_routes(routes(1));
-    let listed: Vec<Announced> = (1..=agents).map(announced).collect();
+    let listed: Vec<ListedAgent> = (1..=agents).map(announced).collect();
     s.roster.update(&listed, now);
     s
 }
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -121,8 +121,8 @@
         let foreign = Kv { key: format!("{AGENTS}{name}").into(), value: value.clone(), rev: 9, lease: 0 };
         let bad: Kv = Kv { key: Arc::from(relay::INDEX), value, rev: 10, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([foreign, bad, entry(1), entry(2)]));
-        prop_assert_eq!(s.roster.of(SERVICE).count(), 2);
-        prop_assert_eq!(s.version(), Some(1));
+        prop_assert_eq!(s.roster.agents_of(SERVICE).count(), 2);
+        prop_assert_eq!(s.config_version(), Some(1));
     }
 
     /// A configuration that cannot be read leaves the last one in force.
@@ -132,7 +132,7 @@
         let mut reader = Reader::default();
         let kv = Kv { key: config::KEY.into(), value, rev: 3, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([kv, entry(1)]));
-        prop_assert_eq!(s.version(), Some(1));
+        prop_assert_eq!(s.config_version(), Some(1));
     }
 
     /// No bytes end a process.
@@ -154,5 +154,5 @@
     let mut lie = entry(1);
     lie.value = entry(2).value;
     Reader::default().apply_snapshot(&mut s, &snapshot([lie, entry(3)]));
-    assert_eq!(s.roster.of(SERVICE).collect::<Vec<_>>(), [agent(3)]);
+    assert_eq!(s.roster.agents_of(SERVICE).collect::<Vec<_>>(), [agent(3)]);
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -13,7 +13,7 @@
 use jujubepost::platform::config;
 use jujubepost::relay::parts::{decode, join, split};
 use jujubepost::relay::{self, INDEX, OWN, PARTS, Relay, part_key};
-use jujubepost::steer::{Route, Routes, Share, Steer};
+use jujubepost::steering::{FlowSteering, Route, Routes, WeightedService};
 use jujubepost::store::mirror::{Ask, News, Source, follow};
 use jujubepost::store::{Batch, Change, Keeper, Kv, Snapshot};
 use jujubepost::trial::{Plan, Trial};
@@ -27,15 +27,15 @@
 fn routes(version: u64, n: u16) -> Routes {
     let route = |n: u16| Route {
         name: format!("r-{n}").into(),
-        services: vec![Share { service: "meter".into(), weight: 1, max_flows: 2_000 }],
-        limit: Duration::from_secs(3),
+        services: vec![WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 }],
+        request_timeout: Duration::from_secs(3),
     };
     let routes: HashMap<_, _> = (1..=n).map(|n| (addr(n), route(n))).collect();
-    Routes { version, routes, idle: Duration::from_secs(12) }
+    Routes { version, by_address: routes, idle_timeout: Duration::from_secs(12) }
 }
 
-fn steer() -> Steer {
-    Steer::new(addr(7_720), "gjw-a".into(), Duration::from_secs(60))
+fn steer() -> FlowSteering {
+    FlowSteering::new(addr(7_720), "gjw-a".into(), Duration::from_secs(60))
 }
 
 /// A relay at 10.1.0.`n` for configurations of 100 bytes or more.
@@ -82,7 +82,7 @@
     assert_eq!(publish(&mut copy, &balancer(1), &all), PARTS + 1);
     assert_eq!(publish(&mut copy, &balancer(1), &all), 0, "written once");
     all.version = 9;
-    all.routes.get_mut(&addr(5)).unwrap().limit = Duration::from_secs(1);
+    all.by_address.get_mut(&addr(5)).unwrap().request_timeout = Duration::from_secs(1);
     assert_eq!(publish(&mut copy, &balancer(1), &all), 2, "the part and the index");
     let mut s = steer();
     Reader::default().apply_snapshot(&mut s, &copy);
@@ -99,7 +99,7 @@
     publish(&mut copy, &relay, &routes(8, 60));
     let (mut s, mut reader) = (steer(), Reader::default());
     reader.apply_snapshot(&mut s, &old);
-    assert_eq!(s.version(), Some(7));
+    assert_eq!(s.config_version(), Some(7));
     let mut mixed = copy.clone();
     let index = relay::index(&copy).unwrap().0;
     let changed = (0..PARTS).map(part_key).find(|k| copy.keys[k.as_str()] != old.keys[k.as_str()]);
@@ -107,12 +107,12 @@
     mixed.keys.insert(key.as_str().into(), old.keys[key.as_str()].clone());
     assert!(relay::whole(&mixed, &index).is_none());
     reader.apply_snapshot(&mut s, &mixed);
-    assert_eq!((s.version(), s.routes().unwrap().routes.len()), (Some(7), 50));
+    assert_eq!((s.config_version(), s.routes().unwrap().by_address.len()), (Some(7), 50));
     reader.apply_snapshot(&mut s, &copy);
-    assert_eq!((s.version(), s.routes().unwrap().routes.len()), (Some(8), 60));
+    assert_eq!((s.config_version(), s.routes().unwrap().by_address.len()), (Some(8), 60));
     // Never back.
     reader.apply_snapshot(&mut s, &old);
-    assert_eq!(s.version(), Some(8));
+    assert_eq!(s.config_version(), Some(8));
 }
 
 #[test]
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -8,7 +8,7 @@
 
 use common::wires::*;
 use jujubepost::bus::{Answer, FlowStatus};
-use jujubepost::steer::Steer;
+use jujubepost::steering::FlowSteering;
 use jujubepost::store::mirror::{self, Ask, News, Source};
 use jujubepost::store::{Batch, Keeper, Kv};
 use tokio::sync::Notify;
@@ -18,25 +18,25 @@
 /// How long the balancer does not run: longer than an agent may be silent.
 const PAUSED: Duration = Duration::from_secs(5);
 
-fn packet(s: &mut Steer, now: Instant) -> Wires {
+fn packet(s: &mut FlowSteering, now: Instant) -> Wires {
     let mut w = Wires::default();
-    s.packet(&data(1, 1_001, 77, 10), b"packet", now, &mut w);
+    s.handle_packet(&data(1, 1_001, 77, 10), b"packet", now, &mut w);
     s.tick(now, &mut w);
     w
 }
 
-fn tick(s: &mut Steer, now: Instant) -> Wires {
+fn tick(s: &mut FlowSteering, now: Instant) -> Wires {
     let mut w = Wires::default();
     s.tick(now, &mut w);
     w
 }
 
 /// The resets after `agents` have denied the flow, and all others had their time.
-fn denied(s: &mut Steer, agents: impl IntoIterator<Item = u8>, now: Instant) -> usize {
+fn denied(s: &mut FlowSteering, agents: impl IntoIterator<Item = u8>, now: Instant) -> usize {
     let mut w = packet(s, now);
     for n in agents {
         let answer = Answer { flow: flow(1), status: FlowStatus::Unknown, hint: None };
-        s.answers(agent(n), &[answer], 0, now, &mut w);
+        s.handle_answers(agent(n), &[answer], 0, now, &mut w);
         s.tick(now, &mut w);
     }
     w.resets.len() + tick(s, now + 500 * MS).resets.len()
@@ -51,7 +51,7 @@
     let back = now + PAUSED;
     s.resume(PAUSED);
     assert_eq!(denied(&mut s, 1..=3, back), 0);
-    s.see(true, back + 600 * MS);
+    s.set_store_reachable(true, back + 600 * MS);
     assert_eq!(denied(&mut s, 1..=3, back + 600 * MS), 1);
 }
 
@@ -61,10 +61,10 @@
 fn pause_is_no_silence() {
     let now = Instant::now();
     let mut s = steer(3, now);
-    s.roster.missed(agent(3), now + 50 * MS);
+    s.roster.record_timeout(agent(3), now + 50 * MS);
     let back = now + 100 * MS + PAUSED;
     s.resume(PAUSED);
-    s.see(true, back);
+    s.set_store_reachable(true, back);
     assert_eq!(denied(&mut s, 1..=2, back), 0);
     assert_eq!(denied(&mut s, 1..=2, back + 4_000 * MS), 1, "it was asked for 4 s");
 }
@@ -78,7 +78,7 @@
     let listed: Vec<_> = (1..=2).map(announced).collect();
     s.roster.update(&listed, now + 50 * MS);
     tick(&mut s, now + 50 * MS);
-    s.roster.pong(agent(3), SERVICE, 0, now + 60 * MS);
+    s.roster.handle_pong(agent(3), SERVICE, 0, now + 60 * MS);
     let back = now + 100 * MS + PAUSED;
     s.resume(PAUSED);
     tick(&mut s, back);
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -10,24 +10,24 @@
 use common::wires::*;
 use jujubepost::bus::{Answer, FlowStatus, Mode, QUESTIONS};
 use jujubepost::policy::BalancerPolicy;
-use jujubepost::steer::Steer;
+use jujubepost::steering::FlowSteering;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn packet(s: &mut Steer, port: u16, now: Instant) -> Wires {
+fn packet(s: &mut FlowSteering, port: u16, now: Instant) -> Wires {
     let mut w = Wires::default();
-    s.packet(&data(port, 1_001, 77, 10), b"packet", now, &mut w);
+    s.handle_packet(&data(port, 1_001, 77, 10), b"packet", now, &mut w);
     w
 }
 
-fn tick(s: &mut Steer, now: Instant) -> Wires {
+fn tick(s: &mut FlowSteering, now: Instant) -> Wires {
     let mut w = Wires::default();
     s.tick(now, &mut w);
     w
 }
 
 fn answer(
-    s: &mut Steer,
+    s: &mut FlowSteering,
     from: SocketAddrV4,
     port: u16,
     status: FlowStatus,
@@ -35,7 +35,7 @@
     now: Instant,
 ) -> Wires {
     let mut w = Wires::default();
-    s.answers(from, &[Answer { flow: flow(port), status, hint }], 0, now, &mut w);
+    s.handle_answers(from, &[Answer { flow: flow(port), status, hint }], 0, now, &mut w);
     s.tick(now, &mut w);
     w
 }
@@ -52,7 +52,7 @@
         let mut messages = Vec::new();
         for port in 1..=500 {
             let mut w = Wires::default();
-            before.packet(&syn(port), b"syn", now, &mut w);
+            before.handle_packet(&syn(port), b"syn", now, &mut w);
             let Some((_, Sent::Open { offer, .. }, _)) = w.peers.first().cloned() else {
                 panic!("{w:?}");
             };
@@ -105,7 +105,7 @@
     let now = Instant::now();
     let policy = BalancerPolicy { buffer_bytes: 30, ..BalancerPolicy::default() };
     let mut s = steer_with(1, policy, now);
-    let found = |s: &mut Steer, port: u16| {
+    let found = |s: &mut FlowSteering, port: u16| {
         for _ in 0..9 {
             packet(s, port, now);
         }
@@ -136,7 +136,7 @@
         _ => 0,
     });
     assert!(sizes.clone().all(|n| n <= QUESTIONS) && sizes.sum::<usize>() > 300);
-    assert!(s.next_due(now).unwrap() <= now + 10 * MS);
+    assert!(s.next_deadline(now).unwrap() <= now + 10 * MS);
     assert!(tick(&mut s, now + MS).asked().is_empty());
     assert_eq!(tick(&mut s, now + 100 * MS).asked().len(), 10);
 }
@@ -153,7 +153,7 @@
     let asked: HashMap<_, _> = tick(&mut s, now).asked().into_iter().map(|a| (a, ())).collect();
     tick(&mut s, now + 60 * MS);
     for n in 1..=4 {
-        let silent = !s.roster.answers(agent(n));
+        let silent = !s.roster.is_responsive(agent(n));
         assert_eq!(silent, asked.contains_key(&agent(n)), "agent {n}");
     }
 }
@@ -165,7 +165,7 @@
     let now = Instant::now();
     let mut s = steer(30, now);
     let mut w = Wires::default();
-    s.packet(&syn(1), b"syn", now, &mut w);
+    s.handle_packet(&syn(1), b"syn", now, &mut w);
     let first = w.opens()[0];
     packet(&mut s, 1, now);
     assert_eq!(tick(&mut s, now).asked(), [first]);
@@ -177,22 +177,22 @@
     let now = Instant::now();
     let mut s = steer(4, now);
     let mut w = Wires::default();
-    s.packet(&syn(1), b"syn", now, &mut w);
+    s.handle_packet(&syn(1), b"syn", now, &mut w);
     let home = w.opens()[0];
     let Sent::Open { offer, .. } = w.peers[0].1.clone() else { panic!("{w:?}") };
     // The home is not heard; the next two are offered the open.
     let w = tick(&mut s, now + 41 * MS);
     let taker = w.opens()[0];
-    s.roster.pong(home, SERVICE, 0, now + 42 * MS);
+    s.roster.handle_pong(home, SERVICE, 0, now + 42 * MS);
     let mut w = Wires::default();
     let held = jujubepost::bus::Note { flow: flow(1), status: FlowStatus::Held, load: 0 };
-    s.note(taker, held, now + 43 * MS, &mut w);
+    s.handle_note(taker, held, now + 43 * MS, &mut w);
     let hint = Sent::Hint { flow: flow(1), agent: taker };
     assert_eq!(w.peers, [(home, hint, vec![])], "offered {offer:?}");
 }
 
 /// What an agent says that has not heard of flow 1.
-fn unverified(s: &mut Steer, n: u8, now: Instant) -> Wires {
+fn unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Wires {
     answer(s, agent(n), 1, FlowStatus::Unverified, None, now)
 }
 
@@ -210,7 +210,7 @@
     let now = Instant::now();
     for left in [true, false] {
         let mut s = steer(6, now);
-        s.roster.missed(agent(6), now + 50 * MS);
+        s.roster.record_timeout(agent(6), now + 50 * MS);
         if left {
             let listed: Vec<_> = (1..=5).map(announced).collect();
             s.roster.update(&listed, now + 60 * MS);
@@ -225,7 +225,7 @@
         assert_eq!(tried.len(), if left { 2 } else { 0 }, "left {left}");
         if left {
             let foreign =
-                |s: &mut Steer, a| answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS);
+                |s: &mut FlowSteering, a| answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS);
             assert!(foreign(&mut s, tried[0]).carried(Mode::Try).is_empty());
             let rest = foreign(&mut s, tried[1]).carried(Mode::Try);
             assert_eq!(rest.len(), 3, "the flow's own is among them");
@@ -241,7 +241,7 @@
     let now = Instant::now();
     for named_itself in [true, false] {
         let mut s = steer(6, now);
-        s.roster.missed(agent(6), now + 50 * MS);
+        s.roster.record_timeout(agent(6), now + 50 * MS);
         let at = now + 100 * MS;
         packet(&mut s, 1, at);
         let owner = tick(&mut s, at).asked()[0];
@@ -271,10 +271,10 @@
 fn unseen_may_live() {
     let now = Instant::now();
     let mut s = steer(6, now);
-    s.roster.missed(agent(6), now + 50 * MS);
+    s.roster.record_timeout(agent(6), now + 50 * MS);
     let listed: Vec<_> = (1..=5).map(announced).collect();
     s.roster.update(&listed, now + 60 * MS);
-    s.see(false, now + 70 * MS);
+    s.set_store_reachable(false, now + 70 * MS);
     let at = now + 100 * MS;
     packet(&mut s, 1, at);
     tick(&mut s, at);
@@ -292,7 +292,8 @@
 #[test]
 fn ended_not_waited_for() {
     let now = Instant::now();
-    let other = |n, status, s: &mut Steer, port, at| answer(s, agent(n), port, status, None, at);
+    let other =
+        |n, status, s: &mut FlowSteering, port, at| answer(s, agent(n), port, status, None, at);
     for (said, reborn, resets) in [
         (FlowStatus::Ended, false, 1),
         (FlowStatus::Unknown, false, 0),
@@ -303,11 +304,11 @@
         tick(&mut s, now);
         other(6, said, &mut s, 1, now);
         if reborn {
-            let next = |a| jujubepost::steer::Announced { target: Some("i-2".into()), ..a };
+            let next = |a| jujubepost::steering::ListedAgent { target: Some("i-2".into()), ..a };
             let listed: Vec<_> = (1..=6).map(announced).map(next).collect();
             s.roster.update(&listed, now);
         }
-        s.roster.missed(agent(6), now + 50 * MS);
+        s.roster.record_timeout(agent(6), now + 50 * MS);
         let at = now + 100 * MS;
         packet(&mut s, 2, at);
         tick(&mut s, at);
--- a/tests/steer.rs
+++ b/tests/steer.rs
@@ -10,27 +10,33 @@
 use jujubepost::agent::place::UNABLE;
 use jujubepost::bus::{FlowStatus, Mode, Note};
 use jujubepost::metrics::Refusal;
-use jujubepost::steer::Steer;
+use jujubepost::steering::FlowSteering;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn note(s: &mut Steer, from: SocketAddrV4, port: u16, status: FlowStatus, now: Instant) -> Wires {
+fn note(
+    s: &mut FlowSteering,
+    from: SocketAddrV4,
+    port: u16,
+    status: FlowStatus,
+    now: Instant,
+) -> Wires {
     let mut w = Wires::default();
     let load = if matches!(status, FlowStatus::Refused(_)) { UNABLE } else { 0 };
-    s.note(from, Note { flow: flow(port), status, load }, now, &mut w);
+    s.handle_note(from, Note { flow: flow(port), status, load }, now, &mut w);
     s.tick(now, &mut w);
     w
 }
 
 /// Takes a packet, and does what a wake-up does after it.
-fn packet(s: &mut Steer, seg: jujubepost::flow::Segment, now: Instant) -> Wires {
+fn packet(s: &mut FlowSteering, seg: jujubepost::flow::Segment, now: Instant) -> Wires {
     let mut w = Wires::default();
-    s.packet(&seg, b"packet", now, &mut w);
+    s.handle_packet(&seg, b"packet", now, &mut w);
     s.tick(now, &mut w);
     w
 }
 
-fn tick(s: &mut Steer, now: Instant) -> Wires {
+fn tick(s: &mut FlowSteering, now: Instant) -> Wires {
     let mut w = Wires::default();
     s.tick(now, &mut w);
     w
@@ -57,11 +63,11 @@
     let w = tick(&mut s, later);
     assert_eq!(w.opens().len(), 1);
     assert_ne!(w.opens()[0], first);
-    assert!(!s.roster.answers(first), "offered last until it answers");
+    assert!(!s.roster.is_responsive(first), "offered last until it answers");
     let pinged = tick(&mut s, later + MS).peers.len() + w.peers.len();
     assert!(pinged > 1, "and asked");
-    s.roster.pong(first, SERVICE, 0, later);
-    assert!(s.roster.answers(first));
+    s.roster.handle_pong(first, SERVICE, 0, later);
+    assert!(s.roster.is_responsive(first));
 }
 
 #[test]
@@ -95,7 +101,7 @@
         (false, [FlowStatus::Unknown, FlowStatus::Unknown, FlowStatus::Unknown], false),
     ] {
         let mut s = steer(3, now);
-        s.see(sees, now);
+        s.set_store_reachable(sees, now);
         packet(&mut s, data(1, 1_001, 77, 10), now);
         let mut resets = Vec::new();
         for (n, status) in statuses.into_iter().enumerate() {
@@ -140,7 +146,7 @@
 }
 
 /// What an agent says that has not heard of flow 1.
-fn unverified(s: &mut Steer, n: u8, at: Instant) -> Vec<SocketAddrV4> {
+fn unverified(s: &mut FlowSteering, n: u8, at: Instant) -> Vec<SocketAddrV4> {
     note(s, agent(n), 1, FlowStatus::Unverified, at).carried(Mode::Try)
 }
 
@@ -200,8 +206,8 @@
 fn foreign_counts() {
     let now = Instant::now();
     let mut s = steer(5, now);
-    s.see(false, now);
-    s.see(true, now);
+    s.set_store_reachable(false, now);
+    s.set_store_reachable(true, now);
     packet(&mut s, data(1, 1_001, 77, 10), now);
     note(&mut s, agent(1), 1, FlowStatus::NotOwner, now);
     note(&mut s, agent(2), 1, FlowStatus::NotOwner, now);
@@ -235,8 +241,8 @@
 fn kept_while_starting() {
     let now = Instant::now();
     let mut s = steer(0, now);
-    s.see(false, now);
-    s.see(true, now);
+    s.set_store_reachable(false, now);
+    s.set_store_reachable(true, now);
     assert!(packet(&mut s, syn(1), now).resets.is_empty());
     s.roster.update(&[announced(1)], now + 50 * MS);
     assert_eq!(tick(&mut s, now + 101 * MS).opens(), [agent(1)]);
@@ -270,11 +276,11 @@
 #[test]
 fn parked_until_config() {
     let now = Instant::now();
-    let mut s = Steer::new(balancer(), ZONE.into(), Duration::from_secs(60));
+    let mut s = FlowSteering::new(balancer(), ZONE.into(), Duration::from_secs(60));
     assert!(packet(&mut s, syn(1), now).peers.is_empty());
-    assert!(s.next_due(now).unwrap() <= now + 20 * MS);
+    assert!(s.next_deadline(now).unwrap() <= now + 20 * MS);
     assert!(tick(&mut s, now + 20 * MS).peers.is_empty());
-    assert!(s.next_due(now + 20 * MS).unwrap() > now + 20 * MS, "no busy loop");
+    assert!(s.next_deadline(now + 20 * MS).unwrap() > now + 20 * MS, "no busy loop");
     s.apply_routes(routes(1));
     s.roster.update(&[announced(1)], now);
     assert_eq!(tick(&mut s, now + 60 * MS).opens(), [agent(1)]);
@@ -285,7 +291,7 @@
     let mut s = steer(1, Instant::now());
     assert!(s.apply_routes(routes(9)));
     assert!(!s.apply_routes(routes(7)));
-    assert_eq!(s.version(), Some(9));
+    assert_eq!(s.config_version(), Some(9));
 }
 
 /// An agent that the store no longer lists (its lease lapsed, or its key was
@@ -300,7 +306,7 @@
     for i in 1..40 {
         let at = now + i * 300 * MS;
         tick(&mut s, at);
-        s.roster.pong(agent(2), SERVICE, 0, at);
+        s.roster.handle_pong(agent(2), SERVICE, 0, at);
     }
     assert_eq!(s.roster.len(), 2);
     tick(&mut s, now + 40 * 300 * MS + 3_100 * MS);
@@ -311,8 +317,8 @@
 fn reused_address_dropped() {
     let now = Instant::now();
     let mut s = steer(2, now);
-    s.roster.pong(agent(2), "fieldlog", 0, now);
-    assert_eq!(s.roster.of(SERVICE).collect::<Vec<_>>(), [agent(1)]);
+    s.roster.handle_pong(agent(2), "fieldlog", 0, now);
+    assert_eq!(s.roster.agents_of(SERVICE).collect::<Vec<_>>(), [agent(1)]);
 }
 
 /// A balancer cut off from all agents says so, so that another gets its
@@ -321,14 +327,14 @@
 fn cut_off_not_ready() {
     let now = Instant::now();
     let mut s = steer(2, now);
-    assert!(s.ready());
+    assert!(s.is_ready());
     packet(&mut s, syn(1), now);
     tick(&mut s, now + 41 * MS);
-    assert!(!s.ready());
-    s.roster.pong(agent(2), SERVICE, 0, now + 300 * MS);
-    assert!(s.ready());
-    s.stop();
-    assert!(!s.ready());
+    assert!(!s.is_ready());
+    s.roster.handle_pong(agent(2), SERVICE, 0, now + 300 * MS);
+    assert!(s.is_ready());
+    s.begin_shutdown();
+    assert!(!s.is_ready());
 }
 
 /// All agents and balancers were restarted and forgot every flow: the targets
@@ -363,7 +369,7 @@
 fn dead_second_left_out() {
     let now = Instant::now();
     let mut s = steer(2, now);
-    s.roster.missed(agent(2), now + 50 * MS);
+    s.roster.record_timeout(agent(2), now + 50 * MS);
     for port in 1..=50 {
         let w = packet(&mut s, syn(port), now + 60 * MS);
         let Sent::Open { offer, .. } = &w.peers[0].1 else { panic!("{w:?}") };
@@ -379,7 +385,7 @@
     let now = Instant::now();
     for (silent, others, lost) in [(4_100, 2, true), (2_000, 2, false), (4_100, 0, false)] {
         let mut s = steer(3, now);
-        s.roster.missed(agent(3), now + 50 * MS);
+        s.roster.record_timeout(agent(3), now + 50 * MS);
         let at = now + 50 * MS + silent * MS;
         packet(&mut s, data(1, 1_001, 77, 10), at);
         for n in 1..=others {
@@ -392,7 +398,7 @@
     let mut s = steer(3, now);
     packet(&mut s, syn(1), now);
     note(&mut s, agent(3), 1, FlowStatus::Held, now);
-    s.roster.missed(agent(3), now + 50 * MS);
+    s.roster.record_timeout(agent(3), now + 50 * MS);
     let at = now + 4_100 * MS;
     let w = packet(&mut s, data(1, 1_001, 77, 10), at);
     assert_eq!((w.asked().len(), w.carried(Mode::Owner).len()), (1, 0));
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -9,21 +9,21 @@
 
 use common::wires::*;
 use jujubepost::policy::BalancerPolicy;
-use jujubepost::steer::{Announced, Steer};
+use jujubepost::steering::{FlowSteering, ListedAgent};
 
 const MS: Duration = Duration::from_millis(1);
 
 /// Agents of a fleet, of which each service has ten.
-fn fleet(agents: u16) -> Vec<Announced> {
+fn fleet(agents: u16) -> Vec<ListedAgent> {
     let one = |n: u16| {
         let [high, low] = n.to_be_bytes();
         let addr = SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 7_720);
-        Announced { addr, service: format!("s{}", n / 10).into(), ..announced(1) }
+        ListedAgent { addr, service: format!("s{}", n / 10).into(), ..announced(1) }
     };
     (0..agents).map(one).collect()
 }
 
-fn pinged(s: &mut Steer, now: Instant) -> Vec<SocketAddrV4> {
+fn pinged(s: &mut FlowSteering, now: Instant) -> Vec<SocketAddrV4> {
     let mut w = Wires::default();
     s.tick(now, &mut w);
     w.peers.into_iter().filter(|(_, m, _)| matches!(m, Sent::Ping { .. })).map(|p| p.0).collect()
@@ -47,7 +47,7 @@
         let at = now + ms * MS;
         for addr in pinged(&mut s, at) {
             *asked.entry(addr).or_default() += 1;
-            s.roster.pong(addr, &format!("s{}", number(addr) / 10), 0, at);
+            s.roster.handle_pong(addr, &format!("s{}", number(addr) / 10), 0, at);
         }
     }
     let sum: u32 = asked.values().sum();
