--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -9,13 +9,13 @@
 
 /// Bytes of a typical question to an agent, with its heads: a flow and some
 /// neighbours that are asked for at the same moment.
-const QUESTION: f64 = 120.0;
+const QUERY_BYTES: f64 = 120.0;
 
 /// Part of a VM's link that questions may take.
-const LINK_PART: f64 = 0.1;
+const QUERY_LINK_SHARE: f64 = 0.1;
 
 /// Questions a second on a whole core: what they cost leaves most of it to callers.
-const CORE_ASKS: f64 = 8_000.0;
+const CORE_QUERY_RATE: f64 = 8_000.0;
 
 /// What a balancer goes by. Times are in milliseconds in settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -156,10 +156,10 @@
     /// of a core: what is asked must not take what callers need.
     #[must_use]
     pub fn scaled_to_vm(mut self, mbps: f64, cpu: f64) -> Self {
-        let link = mbps * 125_000.0 * LINK_PART / QUESTION;
-        self.query_rate = self.query_rate.min(link).min(CORE_ASKS * cpu);
+        let link = mbps * 125_000.0 * QUERY_LINK_SHARE / QUERY_BYTES;
+        self.query_rate = self.query_rate.min(link).min(CORE_QUERY_RATE * cpu);
         // Positive and far below the type's limit.
-        let pings = (self.query_rate * PING_PART).max(1.0) as u32;
+        let pings = (self.query_rate * PING_SHARE).max(1.0) as u32;
         self.suspicion.ping_rate = self.suspicion.ping_rate.min(pings);
         self
     }
@@ -206,7 +206,7 @@
 }
 
 /// Part of the questions' rate that questions to suspected agents may take.
-const PING_PART: f64 = 0.25;
+const PING_SHARE: f64 = 0.25;
 
 /// When a balancer suspects an agent to be dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/steering/owner.rs
+++ b/src/steering/lookup.rs
@@ -16,17 +16,17 @@
 
 impl FlowSteering {
     /// Has the owner of a flow found, and keeps its packet until then.
-    pub(super) fn search_owner(&mut self, came: &Arrival<'_>, out: &mut impl Transmit) {
-        let Arrival { seg, now, .. } = *came;
-        let flow = came.flow();
+    pub(super) fn search_owner(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
+        let Arrival { seg, now, .. } = *arrival;
+        let flow = arrival.flow();
         let Some(routes) = &self.routes else { return };
-        let Some(share) = routes.service_for(flow) else {
+        let Some(weighted) = routes.service_for(flow) else {
             if !seg.flags.rst {
                 send_refusal(flow, seg.ack, Refusal::NoProfile, out);
             }
             return;
         };
-        let service = share.service.clone();
+        let service = weighted.service.clone();
         // An open whose note has not come yet: the agents that it was offered to
         // know best.
         let (mut search, offered) = match self.flows.remove(flow) {
@@ -34,13 +34,13 @@
             Some(FlowState::Opening(o)) => (OwnerSearch::default(), o.offered_to),
             Some(FlowState::Owned { .. }) | None => (OwnerSearch::default(), Vec::new()),
         };
-        self.kept -= search.bytes();
-        let under_way = search.due.is_some();
+        self.buffered_bytes -= search.buffered_bytes();
+        let under_way = search.wave_deadline.is_some();
         if !under_way {
             search.packets.clear();
         }
-        search.buffer_packet(seg, came.packet, self.kept, &self.policy);
-        self.kept += search.bytes();
+        search.buffer_packet(seg, arrival.packet, self.buffered_bytes, &self.policy);
+        self.buffered_bytes += search.buffered_bytes();
         if !under_way {
             search.service = service;
             self.start_round(flow, &mut search, &offered, now);
@@ -60,23 +60,23 @@
     ) {
         let all: Vec<_> = self.roster.agents_of(&search.service).collect();
         // Fewer than the type holds.
-        search.agents = all.len() as u32;
+        search.agent_count = all.len() as u32;
         let asked = all.into_iter().filter(|a| !self.roster.target_ended(*a));
         let (answering, silent): (Vec<_>, Vec<_>) =
             asked.partition(|a| self.roster.is_responsive(*a));
         let mut order = self.roster.rank_by_likelihood(&answering, &self.zone, flow);
         order.extend(silent);
         order.sort_by_key(|a| !offered.contains(a));
-        search.left = order.into();
-        search.waiting.clear();
+        search.unqueried = order.into();
+        search.pending.clear();
         search.silent.clear();
         search.unverified.clear();
-        search.trial = None;
+        search.named_trial = None;
         search.wave_index = 0;
-        search.messages = 0;
+        search.message_count = 0;
         metrics::retried(Retry::OwnerAsked);
         log::info!(
-            event = events::OWNER_ASKED, flow:% = flow, agents = search.agents,
+            event = events::OWNER_ASKED, flow:% = flow, agents = search.agent_count,
             version = self.config_version();
             "agents asked for a flow's owner"
         );
@@ -87,19 +87,19 @@
     fn query_wave(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
-            self.queries.put(*agent, &search.service, search.question(flow));
+            self.queries.enqueue(*agent, &search.service, search.question(flow));
         }
         // Fewer than the type holds.
-        search.messages += wave.len() as u32;
-        search.waiting.extend(wave);
+        search.message_count += wave.len() as u32;
+        search.pending.extend(wave);
         self.start_wave_timer(flow, search, now);
     }
 
     fn start_wave_timer(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let due = now + self.response_timeout();
-        search.since = Some(now);
-        search.due = Some(due);
-        self.due.put(due, flow);
+        search.wave_started = Some(now);
+        search.wave_deadline = Some(due);
+        self.deadlines.push(due, flow);
     }
 
     /// Takes an agent's answer to a question.
@@ -111,21 +111,21 @@
         out: &mut impl Transmit,
     ) {
         let Some(FlowState::Searching(s)) = self.flows.get(answer.flow, now) else { return };
-        s.messages += 1;
+        s.message_count += 1;
         s.named_owner = answer.hint.or(s.named_owner);
-        if let Some(since) = s.since.filter(|_| s.waiting.contains(&from)) {
-            self.rtt.note(now.duration_since(since));
+        if let Some(since) = s.wave_started.filter(|_| s.pending.contains(&from)) {
+            self.rtt.record_sample(now.duration_since(since));
         }
         if answer.status == FlowStatus::Held {
             self.record_owner(from, answer.flow, now, out);
             return;
         }
-        if let Some(hint) = answer.hint.filter(|h| *h != from && s.left.contains(h)) {
-            s.left.retain(|a| *a != hint);
-            s.waiting.push(hint);
-            s.messages += 1;
+        if let Some(hint) = answer.hint.filter(|h| *h != from && s.unqueried.contains(h)) {
+            s.unqueried.retain(|a| *a != hint);
+            s.pending.push(hint);
+            s.message_count += 1;
             let (service, question) = (s.service.clone(), s.question(answer.flow));
-            self.queries.put(hint, &service, question);
+            self.queries.enqueue(hint, &service, question);
             if let Some(FlowState::Searching(mut s)) = self.flows.remove(answer.flow) {
                 self.start_wave_timer(answer.flow, &mut s, now);
                 self.flows.insert(answer.flow, FlowState::Searching(s), now);
@@ -148,7 +148,7 @@
             }
             Some(FlowState::Searching(s)) => {
                 s.record_answer(from, status);
-                let done = s.waiting.is_empty();
+                let done = s.pending.is_empty();
                 self.try_named_owner(flow, out);
                 if done {
                     self.advance_search(flow, now, out);
@@ -161,7 +161,7 @@
     /// A wave is over: the next is asked, or the round decided.
     fn advance_search(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
-        if !s.left.is_empty() {
+        if !s.unqueried.is_empty() {
             let Some(FlowState::Searching(mut s)) = self.flows.remove(flow) else { return };
             self.query_wave(flow, &mut s, now);
             self.flows.insert(flow, FlowState::Searching(s), now);
@@ -181,14 +181,14 @@
         out: &mut impl Transmit,
     ) {
         let Some(FlowState::Searching(mut s)) = self.flows.remove(flow) else { return };
-        let unsent = s.waiting.iter().any(|a| self.queries.is_queued(*a, flow));
+        let unsent = s.pending.iter().any(|a| self.queries.is_queued(*a, flow));
         if unsent {
             // The budget has not allowed the question yet.
             self.start_wave_timer(flow, &mut s, now);
             self.flows.insert(flow, FlowState::Searching(s), now);
             return;
         }
-        let silent = std::mem::take(&mut s.waiting);
+        let silent = std::mem::take(&mut s.pending);
         log::info!(
             event = events::OWNER_UNKNOWN, flow:% = flow, silent:? = silent,
             unverified:? = s.unverified, tried:? = s.tried;
@@ -209,9 +209,9 @@
         search: OwnerSearch,
         out: &mut impl Transmit,
     ) {
-        self.kept -= search.bytes();
-        if search.messages > 0 {
-            metrics::searched(search.messages);
+        self.buffered_bytes -= search.buffered_bytes();
+        if search.message_count > 0 {
+            metrics::searched(search.message_count);
         }
         if search.tried.contains(&from) {
             // It has the last packet, which was tried at its target.
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -12,8 +12,8 @@
 //! All that grows with trouble has a budget: further offers of opens, questions
 //! to agents, packets kept ([`BalancerPolicy`]).
 
+mod lookup;
 mod opens;
-mod owner;
 mod queries;
 mod resolve;
 mod roster;
@@ -28,10 +28,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use queries::Queries;
+use queries::QueryQueue;
 pub use roster::{ListedAgent, Roster};
 pub use routes::{Route, Routes, WeightedService};
-use rtt::Rtt;
+use rtt::RttEstimator;
 pub use search::OwnerSearch;
 pub use state::{FlowState, PendingOpen};
 
@@ -60,15 +60,15 @@
     /// The agents that the balancer believes in.
     pub roster: Roster,
     flows: Table<FlowState>,
-    due: DeadlineQueue,
+    deadlines: DeadlineQueue,
     policy: BalancerPolicy,
-    queries: Queries,
+    queries: QueryQueue,
     /// How long agents take to answer.
-    rtt: Rtt,
+    rtt: RttEstimator,
     /// Further offers of opens that may be made.
     retry_budget: TokenBucket,
     /// Bytes of packets kept while their flows' owners are asked for.
-    kept: usize,
+    buffered_bytes: usize,
     /// Since when the store answers; none while it does not, so that agents
     /// may run which are not in the roster.
     store_up_since: Option<Instant>,
@@ -88,12 +88,12 @@
             routes: None,
             roster: Roster::default(),
             flows: Table::new(idle),
-            due: DeadlineQueue::default(),
+            deadlines: DeadlineQueue::default(),
             policy: BalancerPolicy::default(),
-            queries: Queries::new(0.0, 0.0),
-            rtt: Rtt::default(),
+            queries: QueryQueue::new(0.0, 0.0),
+            rtt: RttEstimator::default(),
             retry_budget: TokenBucket::new(0.0),
-            kept: 0,
+            buffered_bytes: 0,
             store_up_since: None,
             parked: VecDeque::new(),
             unpark_at: None,
@@ -105,7 +105,7 @@
     /// The balancer with another policy.
     #[must_use]
     pub fn with_policy(mut self, policy: BalancerPolicy) -> Self {
-        self.queries = Queries::new(policy.query_rate, policy.query_burst);
+        self.queries = QueryQueue::new(policy.query_rate, policy.query_burst);
         self.retry_budget = TokenBucket::new(policy.retry_burst);
         self.roster = Roster::new(policy.suspicion.clone());
         self.policy = policy;
@@ -159,21 +159,21 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        let came = Arrival { seg, packet, now };
+        let arrival = Arrival { seg, packet, now };
         if self.routes.is_none() {
-            self.park(&came);
+            self.park(&arrival);
             return;
         }
         if seg.opens() {
-            self.handle_open(&came, out);
+            self.handle_open(&arrival, out);
             return;
         }
-        match self.flows.get(came.flow(), now) {
+        match self.flows.get(arrival.flow(), now) {
             Some(FlowState::Owned { agent, service }) if !self.roster.is_dead(*agent, now) => {
                 let message = Message::Carry { service, mode: Mode::Owner };
                 out.send_to_agent(*agent, &message, packet);
             }
-            _ => self.search_owner(&came, out),
+            _ => self.search_owner(&arrival, out),
         }
     }
 
@@ -244,7 +244,7 @@
     ) {
         let service = match self.flows.remove(flow) {
             Some(FlowState::Opening(o)) => {
-                self.rtt.note(now.duration_since(o.asked));
+                self.rtt.record_sample(now.duration_since(o.offered_at));
                 self.send_owner_hint(from, flow, &o, out);
                 o.service
             }
@@ -301,8 +301,8 @@
 
     fn explain_flow(&self, flow: Flow, now: Instant) -> serde_json::Value {
         let route = self.routes.as_ref().and_then(|r| r.route_for(flow));
-        let pick = route.and_then(|(_, share)| {
-            self.roster.choose_pair(&share.service, &self.zone, flow, None, &[], now)
+        let pick = route.and_then(|(_, weighted)| {
+            self.roster.choose_pair(&weighted.service, &self.zone, flow, None, &[], now)
         });
         serde_json::json!({
             "flow": flow.to_string(),
@@ -328,10 +328,15 @@
     /// When [`FlowSteering::tick`] next has something to do.
     #[must_use]
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
-        [self.due.first(), self.roster.next_ping(), self.unpark_at, self.queries.next_send(now)]
-            .into_iter()
-            .flatten()
-            .min()
+        [
+            self.deadlines.next_at(),
+            self.roster.next_ping(),
+            self.unpark_at,
+            self.queries.next_send(now),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Does what has come due by `now`.
@@ -340,19 +345,21 @@
             self.unpark_at = None;
             self.unpark(now, out);
         }
-        while let Some(flow) = self.due.take(now) {
+        while let Some(flow) = self.deadlines.pop_due(now) {
             self.handle_deadline(flow, now, out);
         }
         self.roster.ping_suspects(now, out);
         self.queries.send_queued(now, out);
-        let kept = &mut self.kept;
+        let kept = &mut self.buffered_bytes;
         self.flows.expire(now, |_, known| *kept -= known.buffered_bytes());
     }
 
     fn handle_deadline(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         match self.flows.peek(flow) {
-            Some(FlowState::Opening(o)) if o.due <= now => self.handle_open_timeout(flow, now, out),
-            Some(FlowState::Searching(s)) if s.due.is_some_and(|at| at <= now) => {
+            Some(FlowState::Opening(o)) if o.deadline <= now => {
+                self.handle_open_timeout(flow, now, out)
+            }
+            Some(FlowState::Searching(s)) if s.wave_deadline.is_some_and(|at| at <= now) => {
                 self.handle_wave_timeout(flow, now, out);
             }
             Some(_) | None => {}
@@ -360,14 +367,14 @@
     }
 
     /// Keeps a packet that came before any configuration was known.
-    fn park(&mut self, came: &Arrival<'_>) {
+    fn park(&mut self, arrival: &Arrival<'_>) {
         if self.parked.len() >= self.policy.max_parked {
             metrics::refused(Refusal::NoConfig);
             self.parked.pop_front();
         }
-        self.unpark_at.get_or_insert(came.now + self.policy.unpark_interval);
-        let (seg, packet) = (*came.seg, came.packet.to_vec());
-        self.parked.push_back(Parked { since: came.now, seg, packet });
+        self.unpark_at.get_or_insert(arrival.now + self.policy.unpark_interval);
+        let (seg, packet) = (*arrival.seg, arrival.packet.to_vec());
+        self.parked.push_back(Parked { arrived_at: arrival.now, seg, packet });
     }
 
     /// Takes the packets kept until a configuration was known; those whose
@@ -378,7 +385,7 @@
             return;
         }
         for p in std::mem::take(&mut self.parked) {
-            if now.duration_since(p.since) < self.policy.open_timeout {
+            if now.duration_since(p.arrived_at) < self.policy.open_timeout {
                 self.handle_packet(&p.seg, &p.packet, now, out);
             }
         }
@@ -390,17 +397,17 @@
 struct DeadlineQueue(BinaryHeap<Reverse<(Instant, Flow)>>);
 
 impl DeadlineQueue {
-    fn put(&mut self, at: Instant, flow: Flow) {
+    fn push(&mut self, at: Instant, flow: Flow) {
         self.0.push(Reverse((at, flow)));
     }
 
-    fn first(&self) -> Option<Instant> {
+    fn next_at(&self) -> Option<Instant> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Takes the next flow out whose time has come.
-    fn take(&mut self, now: Instant) -> Option<Flow> {
-        self.first().filter(|at| *at <= now)?;
+    fn pop_due(&mut self, now: Instant) -> Option<Flow> {
+        self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, flow))| flow)
     }
 }
@@ -408,7 +415,7 @@
 /// A packet that came before any configuration was known.
 #[derive(Debug)]
 struct Parked {
-    since: Instant,
+    arrived_at: Instant,
     seg: Segment,
     packet: Vec<u8>,
 }
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -12,14 +12,14 @@
 
 impl FlowSteering {
     /// Offers a new flow, or the copy of one, to agents.
-    pub(super) fn handle_open(&mut self, came: &Arrival<'_>, out: &mut impl Transmit) {
-        let (flow, seq, now) = (came.flow(), came.seg.seq, came.now);
-        let Some((route, share)) = self.routes.as_ref().and_then(|r| r.route_for(flow)) else {
+    pub(super) fn handle_open(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
+        let (flow, seq, now) = (arrival.flow(), arrival.seg.seq, arrival.now);
+        let Some((route, weighted)) = self.routes.as_ref().and_then(|r| r.route_for(flow)) else {
             refuse_open(flow, Refusal::NoProfile, out);
             return;
         };
         let patience = self.policy.open_timeout.min(route.request_timeout / 2);
-        let mut opening = PendingOpen::new(share, seq, came.packet, now, patience);
+        let mut opening = PendingOpen::new(weighted, seq, arrival.packet, now, patience);
         let mut before = None;
         match self.flows.remove(flow) {
             Some(FlowState::Owned { agent, .. }) => before = Some(agent),
@@ -27,7 +27,7 @@
                 before = o.offered_to.first().copied();
                 opening = PendingOpen { offered_to: Vec::new(), ..o };
             }
-            Some(known @ FlowState::Searching(_)) => self.kept -= known.buffered_bytes(),
+            Some(known @ FlowState::Searching(_)) => self.buffered_bytes -= known.buffered_bytes(),
             _ => {}
         }
         self.retry_budget.add(self.policy.retry_ratio);
@@ -51,8 +51,8 @@
         opening.offered_to.clear();
         opening.round_count += 1;
         opening.in_backoff = true;
-        opening.due = now + pause;
-        self.due.put(opening.due, flow);
+        opening.deadline = now + pause;
+        self.deadlines.push(opening.deadline, flow);
     }
 
     /// Whether an agent that is not in the roster can be taken as gone.
@@ -83,18 +83,18 @@
         let open = Open {
             service: &opening.service,
             max_flows: opening.max_flows,
-            aged: now.duration_since(opening.since) >= self.policy.aged_after,
+            aged: now.duration_since(opening.arrived_at) >= self.policy.aged_after,
             offer: Offer { first, second, stage },
             reply: self.own_addr,
         };
         out.send_to_agent(first, &Message::Open(open), &opening.packet);
         opening.offered_to.push(first);
         opening.offered_to.extend(second);
-        opening.asked = now;
+        opening.offered_at = now;
         opening.in_backoff = false;
-        opening.due =
-            now + backoff(self.response_timeout(), opening.unanswered, self.policy.max_timeout);
-        self.due.put(opening.due, flow);
+        opening.deadline =
+            now + backoff(self.response_timeout(), opening.timeout_count, self.policy.max_timeout);
+        self.deadlines.push(opening.deadline, flow);
         true
     }
 
@@ -112,7 +112,7 @@
         }
         o.inconclusive |= matches!(reason, Refusal::NoTarget | Refusal::Busy);
         let Some(FlowState::Opening(mut opening)) = self.flows.remove(flow) else { return };
-        self.rtt.note(now.duration_since(opening.asked));
+        self.rtt.record_sample(now.duration_since(opening.offered_at));
         let most = if reason == Refusal::Busy {
             self.policy.max_busy_offers
         } else {
@@ -138,7 +138,7 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        if now.duration_since(opening.since) >= opening.timeout {
+        if now.duration_since(opening.arrived_at) >= opening.timeout {
             refuse_open(flow, reason, out);
         } else {
             self.schedule_retry(flow, &mut opening, now);
@@ -159,14 +159,14 @@
             metrics::retried(Retry::OpenTimeout);
             log::info!(
                 event = events::OPEN_UNANSWERED, flow:% = flow, offered:? = opening.offered_to,
-                age_ms = now.duration_since(opening.since).as_millis();
+                age_ms = now.duration_since(opening.arrived_at).as_millis();
                 "agents did not answer an open"
             );
             for agent in opening.offered_to.iter().rev().take(2) {
                 self.roster.record_timeout(*agent, now);
             }
             opening.inconclusive = true;
-            opening.unanswered += 1;
+            opening.timeout_count += 1;
         }
         if !self.take_retry_token(now) {
             metrics::retried(Retry::BudgetSpent);
--- a/src/steering/queries.rs
+++ b/src/steering/queries.rs
@@ -12,15 +12,15 @@
 use crate::token_bucket::TokenBucket;
 
 #[derive(Debug, Default)]
-struct Queue {
+struct AgentQueries {
     service: Arc<str>,
     questions: VecDeque<Question>,
 }
 
 /// Questions that have not gone out yet.
 #[derive(Debug)]
-pub struct Queries {
-    queues: BTreeMap<SocketAddrV4, Queue>,
+pub struct QueryQueue {
+    queues: BTreeMap<SocketAddrV4, AgentQueries>,
     /// Agents with questions, those that have waited longest first.
     round_robin: VecDeque<SocketAddrV4>,
     budget: TokenBucket,
@@ -28,7 +28,7 @@
     rate: f64,
 }
 
-impl Queries {
+impl QueryQueue {
     /// No questions, and at most `rate` datagrams a second, `burst` at once.
     #[must_use]
     pub const fn new(rate: f64, burst: f64) -> Self {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Queries `agent`, beside a target of `service`.
-    pub fn put(&mut self, agent: SocketAddrV4, service: &Arc<str>, question: Question) {
+    /// QueryQueue `agent`, beside a target of `service`.
+    pub fn enqueue(&mut self, agent: SocketAddrV4, service: &Arc<str>, question: Question) {
         let queue = self.queues.entry(agent).or_default();
         if queue.questions.is_empty() {
             queue.service = service.clone();
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -15,7 +15,7 @@
     pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         let gone = s.silent.iter().all(|a| self.roster.is_dead(*a, now));
-        let most = s.silent.len() * 2 < usize::try_from(s.agents).unwrap_or(usize::MAX);
+        let most = s.silent.len() * 2 < usize::try_from(s.agent_count).unwrap_or(usize::MAX);
         let lost = gone && most && s.unverified.is_empty();
         if lost || s.silent.iter().all(|a| self.is_unreachable(*a, now)) {
             self.finish_round(flow, lost, now, out);
@@ -51,17 +51,17 @@
 
     fn end_round(&mut self, flow: Flow) {
         let Some(FlowState::Searching(s)) = self.flows.peek_mut(flow) else { return };
-        let before = s.bytes();
-        s.due = None;
+        let before = s.buffered_bytes();
+        s.wave_deadline = None;
         s.keep_last();
-        metrics::searched(std::mem::take(&mut s.messages));
-        self.kept -= before - s.bytes();
+        metrics::searched(std::mem::take(&mut s.message_count));
+        self.buffered_bytes -= before - s.buffered_bytes();
     }
 
     /// Resets a flow whose target is gone, so that its caller can come again at once.
     fn reset_lost(&mut self, flow: Flow, out: &mut impl Transmit) {
         if let Some(FlowState::Searching(s)) = self.flows.remove(flow) {
-            self.kept -= s.bytes();
+            self.buffered_bytes -= s.buffered_bytes();
             send_refusal(flow, s.ack, Refusal::Lost, out);
         }
     }
@@ -77,7 +77,7 @@
             return;
         }
         if s.forward_trial(&[named], out) {
-            s.trial = Some(named);
+            s.named_trial = Some(named);
         }
     }
 
@@ -89,7 +89,7 @@
     fn try_unverified(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let trials = self.policy.max_trials;
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
-        if s.trial.is_some_and(|a| s.unverified.contains(&a)) {
+        if s.named_trial.is_some_and(|a| s.unverified.contains(&a)) {
             return;
         }
         let every = s.all_queried() && s.silent.iter().all(|a| self.roster.has_left(*a));
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -40,39 +40,39 @@
     zone: Arc<str>,
     service: Arc<str>,
     /// The start of its target that its entry names.
-    target: Option<Start>,
+    target_start: Option<Start>,
     /// It said that no process of its target runs.
-    ended: bool,
+    target_ended: bool,
     /// Since when the store does not list it.
     unlisted_since: Option<Instant>,
     /// Its load as it last said.
     load: u32,
     /// When it last said anything, or was first listed.
-    heard: Instant,
+    last_heard: Instant,
     /// It did not answer, since when.
-    silent: Option<Instant>,
+    silent_since: Option<Instant>,
     /// When it was last asked whether it is there.
     last_ping: Option<Instant>,
     /// Whether it was asked since it last said anything and since its entry went.
-    asked: bool,
+    ping_pending: bool,
     /// Until when its turn to be asked had not come.
     deferred_until: Option<Instant>,
 }
 
 impl Agent {
     fn is_suspected(&self) -> bool {
-        self.unlisted_since.is_some() || self.silent.is_some()
+        self.unlisted_since.is_some() || self.silent_since.is_some()
     }
 
-    fn kept(&self, keep: Duration, now: Instant) -> bool {
-        let since = |at: Instant| at.max(self.heard).max(self.deferred_until.unwrap_or(at));
+    fn is_retained(&self, keep: Duration, now: Instant) -> bool {
+        let since = |at: Instant| at.max(self.last_heard).max(self.deferred_until.unwrap_or(at));
         self.unlisted_since.is_none_or(|at| now.duration_since(since(at)) < keep)
     }
 
     /// Its turn to be asked has not come before `now`: the time that it has to
     /// answer begins then, unless it was asked before.
     fn defer(&mut self, now: Instant) {
-        if !self.asked {
+        if !self.ping_pending {
             self.deferred_until = Some(now);
         }
     }
@@ -80,14 +80,14 @@
     /// Whether it answers and did not say within `unable` that it can take
     /// nothing.
     fn accepts_flows(&self, unable: Duration, now: Instant) -> bool {
-        let unable = self.load == UNABLE && now.duration_since(self.heard) < unable;
-        self.silent.is_none() && !unable
+        let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable;
+        self.silent_since.is_none() && !unable
     }
 }
 
 /// Least pause between two looks for agents to ask while the budget is spent: each
 /// goes through all agents.
-const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const PING_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The agents by address and by service.
 #[derive(Clone, Debug)]
@@ -97,9 +97,9 @@
     agents: BTreeMap<SocketAddrV4, Agent>,
     services: HashMap<Arc<str>, Vec<SocketAddrV4>>,
     /// When the next question is due; none while no agent is suspected.
-    due: Option<Instant>,
+    next_ping_at: Option<Instant>,
     /// Questions to suspected agents that may be asked.
-    pings: TokenBucket,
+    ping_budget: TokenBucket,
 }
 
 impl Default for Roster {
@@ -113,13 +113,13 @@
     #[must_use]
     pub fn new(suspicion: SuspicionPolicy) -> Self {
         // What comes in between two looks must not be lost.
-        let burst = f64::from(suspicion.ping_rate) * 2.0 * RETRY_INTERVAL.as_secs_f64();
+        let burst = f64::from(suspicion.ping_rate) * 2.0 * PING_RETRY_INTERVAL.as_secs_f64();
         Self {
             suspicion,
             agents: BTreeMap::new(),
             services: HashMap::new(),
-            due: None,
-            pings: TokenBucket::new(burst.max(1.0)),
+            next_ping_at: None,
+            ping_budget: TokenBucket::new(burst.max(1.0)),
         }
     }
 
@@ -139,7 +139,7 @@
     /// meanwhile, so that time does not count as silence.
     pub fn resume(&mut self, paused: Duration) {
         for a in self.agents.values_mut() {
-            for since in [&mut a.silent, &mut a.unlisted_since, &mut a.deferred_until] {
+            for since in [&mut a.silent_since, &mut a.unlisted_since, &mut a.deferred_until] {
                 *since = since.map(|at| at + paused);
             }
         }
@@ -153,7 +153,7 @@
         for (addr, a) in &mut self.agents {
             if a.unlisted_since.is_none() && !listed.contains(addr) {
                 a.unlisted_since = Some(now);
-                a.asked = false;
+                a.ping_pending = false;
                 changed = true;
             }
         }
@@ -161,7 +161,7 @@
             changed |= self.insert_listed(a, now);
         }
         if self.agents.values().any(Agent::is_suspected) {
-            self.due = Some(now);
+            self.next_ping_at = Some(now);
         }
         changed
     }
@@ -171,9 +171,9 @@
         match self.agents.get_mut(&a.addr) {
             Some(known) if known.service == a.service => {
                 known.zone = a.zone.clone();
-                if known.target != a.target {
-                    known.target = a.target.clone();
-                    known.ended = false;
+                if known.target_start != a.target {
+                    known.target_start = a.target.clone();
+                    known.target_ended = false;
                 }
                 known.unlisted_since.take().is_some()
             }
@@ -189,14 +189,14 @@
         let agent = Agent {
             zone: a.zone.clone(),
             service: a.service.clone(),
-            target: a.target.clone(),
-            ended: false,
+            target_start: a.target.clone(),
+            target_ended: false,
             unlisted_since: None,
             load: 0,
-            heard: now,
-            silent: None,
+            last_heard: now,
+            silent_since: None,
             last_ping: None,
-            asked: false,
+            ping_pending: false,
             deferred_until: None,
         };
         self.agents.insert(a.addr, agent);
@@ -223,7 +223,7 @@
     /// Whether the agent is known and answers.
     #[must_use]
     pub fn is_responsive(&self, addr: SocketAddrV4) -> bool {
-        self.agents.get(&addr).is_some_and(|a| a.silent.is_none())
+        self.agents.get(&addr).is_some_and(|a| a.silent_since.is_none())
     }
 
     /// Each agent with what is believed of it, as JSON.
@@ -238,10 +238,10 @@
                 "service": a.service,
                 "zone": a.zone,
                 "load": if a.load == UNABLE { None } else { Some(a.load) },
-                "heard_ms": age(a.heard),
-                "silent_ms": a.silent.map(age),
+                "heard_ms": age(a.last_heard),
+                "silent_ms": a.silent_since.map(age),
                 "unlisted_ms": a.unlisted_since.map(age),
-                "target_ended": a.ended,
+                "target_ended": a.target_ended,
             })
         };
         agents.into_iter().map(one).collect()
@@ -251,7 +251,7 @@
     /// off from them, and another should have its callers.
     #[must_use]
     pub fn all_silent(&self) -> bool {
-        !self.agents.is_empty() && self.agents.values().all(|a| a.silent.is_some())
+        !self.agents.is_empty() && self.agents.values().all(|a| a.silent_since.is_some())
     }
 
     /// Whether a flow at the agent's target is lost to its caller: the agent has
@@ -266,13 +266,13 @@
     /// Whether the agent is silent and last said that its target had ended.
     #[must_use]
     pub fn target_ended(&self, addr: SocketAddrV4) -> bool {
-        self.agents.get(&addr).is_none_or(|a| a.ended && a.silent.is_some())
+        self.agents.get(&addr).is_none_or(|a| a.target_ended && a.silent_since.is_some())
     }
 
     /// Whether the agent has not answered for `span` or longer.
     #[must_use]
     pub fn is_silent_for(&self, addr: SocketAddrV4, span: Duration, now: Instant) -> bool {
-        let silent = self.agents.get(&addr).map(|a| a.silent);
+        let silent = self.agents.get(&addr).map(|a| a.silent_since);
         silent.is_none_or(|s| s.is_some_and(|at| now.duration_since(at) >= span))
     }
 
@@ -290,11 +290,11 @@
     pub fn record_contact(&mut self, addr: SocketAddrV4, load: u32, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr) {
             a.load = load;
-            a.heard = now;
-            a.silent = None;
-            a.asked = false;
+            a.last_heard = now;
+            a.silent_since = None;
+            a.ping_pending = false;
             // Only with a target can it take flows.
-            a.ended &= load == UNABLE;
+            a.target_ended &= load == UNABLE;
         }
     }
 
@@ -302,11 +302,11 @@
     pub fn record_status(&mut self, addr: SocketAddrV4, status: FlowStatus) {
         if let Some(a) = self.agents.get_mut(&addr) {
             match status {
-                FlowStatus::Ended => a.ended = true,
+                FlowStatus::Ended => a.target_ended = true,
                 FlowStatus::Held
                 | FlowStatus::Unknown
                 | FlowStatus::Unverified
-                | FlowStatus::NotOwner => a.ended = false,
+                | FlowStatus::NotOwner => a.target_ended = false,
                 // Says nothing of the target.
                 FlowStatus::Refused(_) => {}
             }
@@ -324,10 +324,10 @@
     /// An agent did not answer in time.
     pub fn record_timeout(&mut self, addr: SocketAddrV4, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr)
-            && now.duration_since(a.heard) >= self.suspicion.silence_grace
+            && now.duration_since(a.last_heard) >= self.suspicion.silence_grace
         {
-            a.silent.get_or_insert(now);
-            self.due.get_or_insert(now);
+            a.silent_since.get_or_insert(now);
+            self.next_ping_at.get_or_insert(now);
         }
     }
 
@@ -396,26 +396,26 @@
     /// When the next question to an agent is due.
     #[must_use]
     pub const fn next_ping(&self) -> Option<Instant> {
-        self.due
+        self.next_ping_at
     }
 
     /// Asks the suspected agents, those that have waited longest first, as
     /// far as the budget goes, and drops those that the store does not list and
     /// that had their turn and have not answered in time.
     pub fn ping_suspects(&mut self, now: Instant, out: &mut impl Transmit) {
-        if self.due.is_none_or(|at| at > now) {
+        if self.next_ping_at.is_none_or(|at| at > now) {
             return;
         }
         let dropped: Vec<SocketAddrV4> = self
             .agents
             .iter()
-            .filter(|(_, a)| !a.kept(self.suspicion.unlisted_timeout, now))
+            .filter(|(_, a)| !a.is_retained(self.suspicion.unlisted_timeout, now))
             .map(|(addr, _)| *addr)
             .collect();
         for addr in dropped {
             self.remove(addr);
         }
-        self.pings.refill(self.suspicion.ping_rate.into(), now);
+        self.ping_budget.refill(self.suspicion.ping_rate.into(), now);
         let pause = self.suspicion.ping_interval;
         let due = |a: &Agent| a.last_ping.is_none_or(|at| now.duration_since(at) >= pause);
         let mut waiting: Vec<_> =
@@ -423,7 +423,7 @@
         waiting.sort_by_key(|(_, a)| a.last_ping);
         let mut spent = false;
         for (addr, a) in waiting {
-            if spent || !self.pings.try_take() {
+            if spent || !self.ping_budget.try_take() {
                 spent = true;
                 a.defer(now);
                 continue;
@@ -432,12 +432,12 @@
                 a.defer(now);
             }
             a.last_ping = Some(now);
-            a.asked = true;
+            a.ping_pending = true;
             out.send_to_agent(*addr, &Message::Ping { listed: a.unlisted_since.is_none() }, &[]);
         }
         let suspected = self.agents.values().filter(|a| a.is_suspected());
         let next = suspected.filter_map(|a| a.last_ping).min().map(|at| at + pause);
-        self.due = if spent { Some(now + RETRY_INTERVAL) } else { next };
+        self.next_ping_at = if spent { Some(now + PING_RETRY_INTERVAL) } else { next };
     }
 }
 
--- a/src/steering/routes.rs
+++ b/src/steering/routes.rs
@@ -47,7 +47,7 @@
     /// The service for `flow`: the same at every balancer with this version.
     #[must_use]
     pub fn service_for(&self, flow: Flow) -> Option<&WeightedService> {
-        self.route_for(flow).map(|(_, share)| share)
+        self.route_for(flow).map(|(_, weighted)| weighted)
     }
 
     /// The route of `flow`, and the service for it.
@@ -60,12 +60,12 @@
             return None;
         }
         let mut point = flow.hash64() % total;
-        let share = services.iter().find(|s| {
+        let weighted = services.iter().find(|s| {
             let weight = u64::from(s.weight);
             let here = point < weight;
             point = point.saturating_sub(weight);
             here
         });
-        share.map(|s| (route, s))
+        weighted.map(|s| (route, s))
     }
 }
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -23,17 +23,17 @@
     pub(super) ack: u32,
     pub(super) has_ack: bool,
     /// When the wave's time to answer is over; none once the round is decided.
-    pub due: Option<Instant>,
+    pub wave_deadline: Option<Instant>,
     /// When the wave was asked.
-    pub(super) since: Option<Instant>,
+    pub(super) wave_started: Option<Instant>,
     /// Agents that the round is to ask, in order.
-    pub(super) left: VecDeque<SocketAddrV4>,
+    pub(super) unqueried: VecDeque<SocketAddrV4>,
     /// Waves of the round so far.
     pub(super) wave_index: usize,
     /// Agents of the service.
-    pub agents: u32,
+    pub agent_count: u32,
     /// Agents asked that have not answered.
-    pub waiting: Vec<SocketAddrV4>,
+    pub pending: Vec<SocketAddrV4>,
     /// Agents that did not answer in time.
     pub(super) silent: Vec<SocketAddrV4>,
     /// Agents that may have forgotten the flow.
@@ -43,9 +43,9 @@
     /// The agent that was named as the flow's owner.
     pub(super) named_owner: Option<SocketAddrV4>,
     /// The named one, while its target is tried.
-    pub(super) trial: Option<SocketAddrV4>,
+    pub(super) named_trial: Option<SocketAddrV4>,
     /// Questions and answers of the round.
-    pub(super) messages: u32,
+    pub(super) message_count: u32,
 }
 
 impl OwnerSearch {
@@ -53,7 +53,7 @@
     /// not hold the flow: the target that did is gone.
     #[must_use]
     pub fn is_lost(&self) -> bool {
-        self.agents > 0 && self.all_answered() && self.unverified.is_empty()
+        self.agent_count > 0 && self.all_answered() && self.unverified.is_empty()
     }
 
     /// Whether every agent of the service has answered.
@@ -63,14 +63,14 @@
 
     /// Whether every agent of the service was asked, and had its time to answer.
     pub(super) fn all_queried(&self) -> bool {
-        self.left.is_empty() && self.waiting.is_empty()
+        self.unqueried.is_empty() && self.pending.is_empty()
     }
 
     /// An agent answered that it does not know the flow, or may have forgotten
     /// it ([`FlowStatus::Unverified`]), or that its target was tried ([`FlowStatus::NotOwner`]).
     pub(super) fn record_answer(&mut self, from: SocketAddrV4, status: FlowStatus) {
-        self.left.retain(|a| *a != from);
-        for list in [&mut self.waiting, &mut self.silent, &mut self.unverified] {
+        self.unqueried.retain(|a| *a != from);
+        for list in [&mut self.pending, &mut self.silent, &mut self.unverified] {
             list.retain(|a| *a != from);
         }
         if status == FlowStatus::Unverified {
@@ -90,7 +90,7 @@
     pub(super) fn next_wave(&mut self, waves: &[usize]) -> Vec<SocketAddrV4> {
         let size = waves.get(self.wave_index).copied().unwrap_or(usize::MAX);
         self.wave_index += 1;
-        self.left.drain(..size.min(self.left.len())).collect()
+        self.unqueried.drain(..size.min(self.unqueried.len())).collect()
     }
 
     pub(super) const fn question(&self, flow: Flow) -> Question {
@@ -98,7 +98,7 @@
     }
 
     /// Bytes of the packets kept.
-    pub(super) fn bytes(&self) -> usize {
+    pub(super) fn buffered_bytes(&self) -> usize {
         self.packets.iter().map(Vec::len).sum()
     }
 
@@ -120,7 +120,7 @@
     ) {
         self.has_ack = seg.flags.ack;
         self.ack = seg.ack;
-        let room = others + self.bytes() + packet.len() <= policy.buffer_bytes;
+        let room = others + self.buffered_bytes() + packet.len() <= policy.buffer_bytes;
         if self.packets.is_empty() || room && self.packets.len() < policy.buffer_packets {
             self.packets.push_back(packet.to_vec());
         } else {
--- a/src/steering/state.rs
+++ b/src/steering/state.rs
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         match self {
-            Self::Searching(s) => s.bytes(),
+            Self::Searching(s) => s.buffered_bytes(),
             Self::Opening(_) | Self::Owned { .. } => 0,
         }
     }
@@ -47,8 +47,8 @@
 /// An open that no agent has taken yet.
 #[derive(Debug)]
 pub struct PendingOpen {
-    /// When the caller's first packet came.
-    pub since: Instant,
+    /// When the caller's first packet arrived.
+    pub arrived_at: Instant,
     /// The caller's first sequence number, the same in each copy.
     pub seq: u32,
     /// How long it may be kept until an agent takes it.
@@ -62,14 +62,14 @@
     /// The agents it was offered to in this round, in order.
     pub offered_to: Vec<SocketAddrV4>,
     /// When it was last offered.
-    pub asked: Instant,
+    pub offered_at: Instant,
     /// Offers that were not answered in time, and rounds that have ended: each
     /// lengthens the pause until the next.
-    pub unanswered: u32,
+    pub timeout_count: u32,
     /// See `unanswered`.
     pub round_count: u32,
     /// When to look at it again; entries of the queue for other times are old.
-    pub due: Instant,
+    pub deadline: Instant,
     /// Every agent of the round has answered; the next round comes at `due`.
     pub in_backoff: bool,
     /// Some of them did not answer or had not heard their target yet, so a
@@ -82,24 +82,24 @@
     /// kept for `patience` at most.
     #[must_use]
     pub fn new(
-        share: &WeightedService,
+        weighted: &WeightedService,
         seq: u32,
         packet: &[u8],
         since: Instant,
         patience: Duration,
     ) -> Self {
         Self {
-            since,
+            arrived_at: since,
             seq,
             timeout: patience,
-            service: share.service.clone(),
-            max_flows: share.max_flows,
+            service: weighted.service.clone(),
+            max_flows: weighted.max_flows,
             packet: packet.to_vec(),
             offered_to: Vec::new(),
-            asked: since,
-            unanswered: 0,
+            offered_at: since,
+            timeout_count: 0,
             round_count: 0,
-            due: since,
+            deadline: since,
             in_backoff: false,
             inconclusive: false,
         }
--- a/src/token_bucket/mod.rs
+++ b/src/token_bucket/mod.rs
@@ -3,32 +3,32 @@
 use std::time::{Duration, Instant};
 
 /// Slowest rate that is told from none, in tokens a second.
-const SLOWEST: f64 = 0.001;
+const MIN_RATE: f64 = 0.001;
 
 /// Longest wait, in seconds.
-const LONGEST_WAIT: f64 = 60.0;
+const MAX_WAIT_S: f64 = 60.0;
 
 /// Shortest wait: finer than the timers of a busy process.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// Tokens that come at a rate, up to a bound, and that work takes.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
     capacity: f64,
-    at: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl TokenBucket {
     /// A full bucket of `most` tokens.
     #[must_use]
     pub const fn new(most: f64) -> Self {
-        Self { tokens: most, capacity: most, at: None }
+        Self { tokens: most, capacity: most, refilled_at: None }
     }
 
     /// Adds what has come since the last call at `rate` tokens a second.
     pub fn refill(&mut self, rate: f64, now: Instant) {
-        let before = self.at.replace(now).unwrap_or(now);
+        let before = self.refilled_at.replace(now).unwrap_or(now);
         self.add(rate * now.saturating_duration_since(before).as_secs_f64());
     }
 
@@ -51,6 +51,6 @@
     #[must_use]
     pub fn time_to_token(&self, rate: f64) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64((missing / rate.max(SLOWEST)).min(LONGEST_WAIT)).max(SHORTEST_WAIT)
+        Duration::from_secs_f64((missing / rate.max(MIN_RATE)).min(MAX_WAIT_S)).max(MIN_WAIT)
     }
 }
