--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use jujubepost::balancer::{self, Pool, View};
-use jujubepost::bus::{self, FlowStatus, Message, Mode, Note};
 use jujubepost::flow::{Flags, Flow, Segment};
-use jujubepost::hold::{self, Holder, Report, State};
+use jujubepost::maglev::MaglevTable;
 use jujubepost::platform::packet;
+use jujubepost::protocol::{self, FlowStatus, FlowUpdate, ForwardMode, Message};
 use jujubepost::settings::{Policy, ProfileSettings, Service};
 use jujubepost::steer::{self, Announced, Route, Routes, Share, Steer};
-use jujubepost::table::Table;
-use jujubepost::wire::{self, Kind, Owner, Packet};
+use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
+use jujubepost::wire::{self, Owner, Packet, PacketKind};
 
 const RUNS: usize = 9;
 const FLOWS: u16 = 10_000;
@@ -33,14 +33,14 @@
 
 impl steer::Out for Encode {
     fn agent(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        bus::encode(message, packet, &mut self.buf).unwrap();
+        protocol::encode(message, packet, &mut self.buf).unwrap();
         self.sent += black_box(self.buf.len()) as u64;
     }
 
     fn reset(&mut self, _: Flow, _: u32) {}
 }
 
-impl hold::Out for Encode {
+impl tracker::Transmit for Encode {
     fn target(&mut self, packet: &[u8]) {
         self.sent += black_box(packet.len()) as u64;
     }
@@ -52,7 +52,7 @@
     fn reset(&mut self, _: Flow, _: u32) {}
 
     fn peer(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        bus::encode(message, packet, &mut self.buf).unwrap();
+        protocol::encode(message, packet, &mut self.buf).unwrap();
         self.sent += black_box(self.buf.len()) as u64;
     }
 }
@@ -104,7 +104,7 @@
     let mut out = Encode::default();
     for (port, p) in (1..=FLOWS).zip(packets) {
         s.packet(&packet::decode(p).unwrap(), p, now, &mut out);
-        let note = Note { flow: flow(port), status: FlowStatus::Held, load: 0 };
+        let note = FlowUpdate { flow: flow(port), status: FlowStatus::Held, load: 0 };
         s.note(addr(1), note, now, &mut out);
     }
     s
@@ -132,24 +132,24 @@
     println!("balancer, open offered and noted: {opened:.0} ns");
 
     let now = Instant::now();
-    let mut h = Holder::new("meter".into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new("meter".into(), Duration::from_secs(60));
     let (start, service) = ("i-1".into(), "meter".to_string());
     let cold = Duration::ZERO;
-    let report = Report { start, service, slots: 5, state: State::Ready, cold, seq: 9 };
+    let report = Report { start, service, slots: 5, state: TargetState::Ready, cold, seq: 9 };
     h.report(report, now);
-    let message = Message::Carry { service: "meter", mode: Mode::Owner };
+    let message = Message::Forward { service: "meter", mode: ForwardMode::Owner };
     let mut buf = Vec::new();
     let carried: Vec<Vec<u8>> = data
         .iter()
         .map(|p| {
-            bus::encode(&message, p, &mut buf).unwrap();
+            protocol::encode(&message, p, &mut buf).unwrap();
             buf.clone()
         })
         .collect();
     let handed = median(|| {
         let start = Instant::now();
         for c in &carried {
-            let (m, p) = bus::decode(c).unwrap();
+            let (m, p) = protocol::decode(c).unwrap();
             h.message(addr(200), &m, Some(&packet::decode(p).unwrap()), p, start, &mut out);
         }
         start.elapsed()
@@ -192,14 +192,14 @@
     let entries: Vec<(Arc<str>, SocketAddrV4)> =
         (1..=10).map(|n| (format!("meter-{n}").into(), addr(n))).collect();
     let owners: HashSet<SocketAddrV4> = (1..=10).map(addr).collect();
-    let pool = Arc::new(Pool { table: Table::new(entries), owners });
+    let pool = Arc::new(Pool { table: MaglevTable::new(entries), owners });
     let view = View { routes: HashMap::from([(443, balancer::Route { spec, pool })]) };
     let packets: Vec<Vec<u8>> = (0..u64::from(FLOWS))
         .map(|flow| {
             let owner = Owner::new(addr(1), 7);
             let body = vec![7; DATA];
             let reply = vip().into();
-            let (kind, seq, ack, port, offer) = (Kind::Data, 1, 1, 443, None);
+            let (kind, seq, ack, port, offer) = (PacketKind::Data, 1, 1, 443, None);
             wire::encode(&Packet { flow, port, kind, seq, ack, owner, reply, offer, body }).unwrap()
         })
         .collect();
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -14,8 +14,8 @@
 use super::mailbox::Mailbox;
 use crate::events;
 use crate::metrics::{self, Refusal, Retry};
-use crate::stream::{Reorder, Window};
-use crate::wire::{self, Answer, Kind, MAX_BODY, Owner, Packet, Reply};
+use crate::stream::{ReorderBuffer, SendWindow};
+use crate::wire::{self, MAX_BODY, Owner, Packet, PacketKind, Reply, ReplyKind};
 
 /// How long the agent waits to connect to its own target.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -110,7 +110,7 @@
 
 impl Spec {
     /// Sends `answer` to the flow's caller side.
-    pub async fn send(&self, sock: &UdpSocket, answer: Answer) {
+    pub async fn send(&self, sock: &UdpSocket, answer: ReplyKind) {
         let (flow, port, owner) = (self.flow, self.port, self.owner);
         send(sock, self.reply, Reply { flow, port, owner, answer }).await;
     }
@@ -152,8 +152,8 @@
         rd,
         wr,
         rx,
-        caller: Reorder::new(1),
-        answers: Window::new(spec.timers.rto, now),
+        caller: ReorderBuffer::new(1),
+        answers: SendWindow::new(spec.timers.rto, now),
         answered: 0,
         caller_done: false,
         target_done: false,
@@ -174,8 +174,8 @@
     rd: OwnedReadHalf,
     wr: OwnedWriteHalf,
     rx: Mailbox<Packet>,
-    caller: Reorder<Packet>,
-    answers: Window<Answer>,
+    caller: ReorderBuffer<Packet>,
+    answers: SendWindow<ReplyKind>,
     answered: u32,
     caller_done: bool,
     target_done: bool,
@@ -197,7 +197,7 @@
             tokio::select! {
                 p = self.rx.recv() => {
                     self.heard = Instant::now();
-                    if p.kind == Kind::Reset {
+                    if p.kind == PacketKind::Reset {
                         return End::Reset;
                     }
                     self.take(p).await;
@@ -219,19 +219,19 @@
         }
     }
 
-    async fn send(&self, answer: Answer) {
+    async fn send(&self, answer: ReplyKind) {
         self.spec.send(&self.sock, answer).await;
     }
 
     /// Takes one packet of the caller's side.
     async fn take(&mut self, p: Packet) {
-        if p.kind == Kind::Open {
-            self.send(Answer::Accept).await;
+        if p.kind == PacketKind::Open {
+            self.send(ReplyKind::Accept).await;
             return;
         }
         self.confirmed = true;
         self.answers.ack(p.ack, Instant::now());
-        if p.kind == Kind::Ack {
+        if p.kind == PacketKind::Ack {
             return;
         }
         self.caller.insert(p.seq, p);
@@ -241,12 +241,12 @@
             });
             self.deliver(&p).await;
         }
-        self.send(Answer::Ack { next: self.caller.next() }).await;
+        self.send(ReplyKind::Ack { next: self.caller.next() }).await;
     }
 
     /// Hands one piece, in order, to the target.
     async fn deliver(&mut self, p: &Packet) {
-        if p.kind == Kind::Close {
+        if p.kind == PacketKind::Close {
             let _ = self.wr.shutdown().await;
             self.caller_done = true;
         } else if self.wr.write_all(&p.body).await.is_ok() {
@@ -262,11 +262,11 @@
             Heard::Nothing => return,
             Heard::Bytes(body) => {
                 self.answered += 1;
-                Answer::Data { seq, body }
+                ReplyKind::Data { seq, body }
             }
             Heard::End { clean } => {
                 self.target_done = true;
-                Answer::Close { seq, clean }
+                ReplyKind::Close { seq, clean }
             }
         };
         self.heard = Instant::now();
@@ -306,11 +306,11 @@
             if self.accept_at > self.opened {
                 metrics::retried(Retry::AcceptTimeout);
             }
-            self.send(Answer::Accept).await;
+            self.send(ReplyKind::Accept).await;
             self.accept_at = now + self.accept_wait;
             self.accept_wait *= 2;
         }
-        let again: Vec<Answer> = self.answers.resend(now).cloned().collect();
+        let again: Vec<ReplyKind> = self.answers.resend(now).cloned().collect();
         for answer in again {
             metrics::retried(Retry::AnswerTimeout);
             self.send(answer).await;
--- a/src/agent/place.rs
+++ b/src/agent/place.rs
@@ -9,7 +9,7 @@
 
 use super::Admit;
 use crate::metrics::Refusal;
-use crate::wire::{Offer, Stage};
+use crate::wire::{Offer, OfferStage};
 
 /// What an agent does with an offered open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,19 +32,21 @@
     let load = load.min(UNABLE - 1);
     let alone = offer.second.is_none();
     match (admit, offer.stage) {
-        (Admit::Accept, Stage::Take | Stage::Last) => Step::Take,
-        (Admit::Accept, Stage::Ask) if alone || load == 0 => Step::Take,
-        (Admit::Accept, Stage::Ask) => to(Stage::Compare { load }),
-        (Admit::Accept, Stage::Compare { load: theirs }) if lighter(load, theirs) => Step::Take,
-        (Admit::Accept, Stage::Compare { .. }) => to(Stage::Last),
-        (Admit::Refuse(reason), Stage::Take | Stage::Ask | Stage::Last) if alone => {
+        (Admit::Accept, OfferStage::Take | OfferStage::Last) => Step::Take,
+        (Admit::Accept, OfferStage::Ask) if alone || load == 0 => Step::Take,
+        (Admit::Accept, OfferStage::Ask) => to(OfferStage::Compare { load }),
+        (Admit::Accept, OfferStage::Compare { load: theirs }) if lighter(load, theirs) => {
+            Step::Take
+        }
+        (Admit::Accept, OfferStage::Compare { .. }) => to(OfferStage::Last),
+        (Admit::Refuse(reason), OfferStage::Take | OfferStage::Ask | OfferStage::Last) if alone => {
             Step::Refuse(reason)
         }
-        (Admit::Refuse(_), Stage::Take | Stage::Ask | Stage::Last) => {
-            to(Stage::Compare { load: UNABLE })
+        (Admit::Refuse(_), OfferStage::Take | OfferStage::Ask | OfferStage::Last) => {
+            to(OfferStage::Compare { load: UNABLE })
         }
-        (Admit::Refuse(reason), Stage::Compare { load: UNABLE }) => Step::Refuse(reason),
-        (Admit::Refuse(_), Stage::Compare { .. }) => to(Stage::Last),
+        (Admit::Refuse(reason), OfferStage::Compare { load: UNABLE }) => Step::Refuse(reason),
+        (Admit::Refuse(_), OfferStage::Compare { .. }) => to(OfferStage::Last),
     }
 }
 
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -21,7 +21,7 @@
 use crate::metrics::{self, Refusal, Retry};
 use crate::refusal;
 use crate::settings::{Settings, TargetSettings};
-use crate::wire::{self, Answer, Kind, Offer, Owner, Packet, Reply, Stage};
+use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 
 /// How long a target that could not be reached is not tried again.
 const DOWN: Duration = Duration::from_secs(1);
@@ -146,7 +146,7 @@
 
     /// Takes one packet.
     pub fn take(&mut self, p: Packet) {
-        if p.kind == Kind::Open {
+        if p.kind == PacketKind::Open {
             self.open(p);
             return;
         }
@@ -154,16 +154,16 @@
             Some(h) if h.owner == p.owner => {
                 h.inbox.send(p);
             }
-            _ if p.kind == Kind::Reset => {}
+            _ if p.kind == PacketKind::Reset => {}
             _ => {
                 metrics::refused(Refusal::UnknownFlow);
-                self.reply(&p, p.owner, Answer::Reset);
+                self.reply(&p, p.owner, ReplyKind::Reset);
             }
         }
     }
 
     /// Answers a packet whose flow this agent does not hold.
-    fn reply(&mut self, p: &Packet, owner: Owner, answer: Answer) {
+    fn reply(&mut self, p: &Packet, owner: Owner, answer: ReplyKind) {
         let (sock, to) = (self.sock.clone(), p.reply);
         let reply = Reply { flow: p.flow, port: p.port, owner, answer };
         self.spawn(async move { flow::send(&sock, to, reply).await });
@@ -190,7 +190,7 @@
             admit = Admit::Refuse(Refusal::Unreachable);
         }
         let me = v4(self.me.agent);
-        let offer = p.offer.unwrap_or(Offer { first: me, second: None, stage: Stage::Take });
+        let offer = p.offer.unwrap_or(Offer { first: me, second: None, stage: OfferStage::Take });
         match place(admit, self.load(max), offer) {
             Step::Take => self.start(p, offer),
             Step::Pass(on) => self.pass(p, on),
@@ -214,7 +214,7 @@
         metrics::refused(reason);
         log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_REFUSE, p.flow);
         let owner = Owner::new(v4(self.me.agent), 0);
-        self.reply(p, owner, Answer::Refuse { body: refusal::page(reason) });
+        self.reply(p, owner, ReplyKind::Refuse { body: refusal::page(reason) });
     }
 
     fn start(&mut self, p: Packet, offer: Offer) {
@@ -238,7 +238,7 @@
             let end = flow::run(sock.clone(), spec.clone(), waiting, rx).await;
             match end {
                 End::Unreachable => unreachable(&sock, &spec, p, offer).await,
-                End::Idle | End::Silent => spec.send(&sock, Answer::Reset).await,
+                End::Idle | End::Silent => spec.send(&sock, ReplyKind::Reset).await,
                 End::Closed | End::Reset => {}
             }
             let _ = done.send((spec.flow, end));
@@ -273,7 +273,7 @@
         Step::Take | Step::Refuse(_) => {
             let reason = Refusal::Unreachable;
             metrics::refused(reason);
-            spec.send(sock, Answer::Refuse { body: refusal::page(reason) }).await;
+            spec.send(sock, ReplyKind::Refuse { body: refusal::page(reason) }).await;
         }
     }
 }
--- a/src/balancer/builder.rs
+++ b/src/balancer/builder.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 use super::{Pool, Roster, Route, View};
+use crate::maglev::MaglevTable;
 use crate::record;
 use crate::settings::{ProfileSettings, Service};
 use crate::store::mirror::Copy;
 use crate::store::{Keys, Kv};
-use crate::table::Table;
 
 /// One key of the store, parsed.
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
                 Some(p) if p.table.entries() == serving => {
                     Arc::new(Pool { table: p.table.clone(), owners })
                 }
-                _ => Arc::new(Pool { table: Table::new(serving), owners }),
+                _ => Arc::new(Pool { table: MaglevTable::new(serving), owners }),
             };
             pools.insert(service, pool);
         }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -29,7 +29,7 @@
 use crate::settings::{BalancerSettings, Policy, Settings};
 use crate::store::mirror::Source;
 use crate::store::{self, Keys};
-use crate::wire::{self, Answer, Kind, Offer, Owner, Packet, Reply, Stage};
+use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 use crate::{events, record, refusal};
 
 /// Largest datagram taken, in bytes.
@@ -52,7 +52,7 @@
     let Some(route) = view.routes.get(&p.port) else {
         return Decision::Drop(Refusal::NoProfile);
     };
-    if p.kind != Kind::Open || p.owner.addr().is_some() {
+    if p.kind != PacketKind::Open || p.owner.addr().is_some() {
         return match p.owner.addr() {
             Some(a) if route.pool.owners.contains(&a) => Decision::Forward(a),
             _ => Decision::Drop(Refusal::ForeignOwner),
@@ -72,9 +72,9 @@
     let (&a, b) = route.pool.table.pair(key)?;
     let b = b.copied();
     Some(match (attempt, route.spec.policy, b) {
-        (1, _, Some(b)) => Offer { first: b, second: Some(a), stage: Stage::Take },
-        (0, Policy::Least, _) => Offer { first: a, second: b, stage: Stage::Ask },
-        _ => Offer { first: a, second: b, stage: Stage::Take },
+        (1, _, Some(b)) => Offer { first: b, second: Some(a), stage: OfferStage::Take },
+        (0, Policy::Least, _) => Offer { first: a, second: b, stage: OfferStage::Ask },
+        _ => Offer { first: a, second: b, stage: OfferStage::Take },
     })
 }
 
@@ -171,10 +171,10 @@
 /// left unanswered: the next one may meet a balancer that knows more.
 async fn refuse(sock: &UdpSocket, p: &Packet, reason: Refusal) -> std::io::Result<()> {
     let hopeless = matches!(reason, Refusal::NoProfile | Refusal::NoTarget);
-    if p.kind != Kind::Open || p.seq == 0 || !hopeless {
+    if p.kind != PacketKind::Open || p.seq == 0 || !hopeless {
         return Ok(());
     }
-    let answer = Answer::Refuse { body: refusal::page(reason) };
+    let answer = ReplyKind::Refuse { body: refusal::page(reason) };
     let reply = Reply { flow: p.flow, port: p.port, owner: Owner::NONE, answer };
     let Ok(bytes) = wire::encode(&reply) else { return Ok(()) };
     sock.send_to(&bytes, p.reply).await.map(drop)
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use super::Builder;
+use crate::maglev::MaglevTable;
 use crate::settings::ProfileSettings;
 use crate::store::Keys;
 use crate::store::mirror::Copy;
-use crate::table::Table;
 
 /// One profile as the balancer uses it.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Pool {
     /// Targets in service, for new flows.
-    pub table: Table<SocketAddrV4>,
+    pub table: MaglevTable<SocketAddrV4>,
     /// Every known agent of the service, draining ones included: the owners
     /// that established flows may name.
     pub owners: HashSet<SocketAddrV4>,
--- a/src/edge/announce.rs
+++ b/src/edge/announce.rs
@@ -8,10 +8,10 @@
 use tokio::sync::{Notify, watch};
 
 use super::LEASE_MS;
-use crate::hold::Start;
 use crate::platform;
 use crate::steer::Announced;
 use crate::store::{Lessor, lease};
+use crate::tracker::Incarnation;
 use crate::{events, metrics};
 
 /// Pause before a stopping agent tries again to remove its entry: some ten
@@ -67,7 +67,7 @@
 impl Entry {
     /// Writes down the target's start, so that the next process here knows for
     /// which one this process took flows.
-    pub(super) fn serves(&self, start: Start) {
+    pub(super) fn serves(&self, start: Incarnation) {
         let me = Announced { target: Some(start), ..self.me.clone() };
         match serde_json::to_vec(&me) {
             Ok(value) => {
@@ -116,5 +116,5 @@
     /// It lists none.
     None,
     /// It lists one, and the target's start for which that took flows.
-    Listed(Option<Start>),
+    Listed(Option<Incarnation>),
 }
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -17,10 +17,10 @@
 use super::socket::Socket;
 use super::{Settings, pause, relay, store};
 use crate::admin::{self, Board};
-use crate::bus::{self, Message};
 use crate::flow::Flow;
 use crate::listen::{Answer, Server};
 use crate::platform::{self, packet};
+use crate::protocol::{self, Message};
 use crate::relay::Relay;
 use crate::steer::{self, Steer};
 use crate::store::Snapshot;
@@ -198,7 +198,7 @@
     refresh: &Notify,
 ) {
     let mut buf = vec![0; PACKET];
-    let mut scratch = Vec::with_capacity(bus::DATAGRAM);
+    let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
     loop {
         let before = Instant::now();
         let due = steer.borrow().next_due(before);
@@ -219,10 +219,11 @@
         // answer that has come was read: on a busy VM a caller's next packet
         // would overtake the note of its open, and answers in the queue would
         // count as missing.
-        let caught_up = wires.bus.drain(&mut buf, |datagram, from| match bus::decode(datagram) {
-            Ok((message, _)) => steer.message(from, &message, now, &mut out),
-            Err(e) => metrics::dropped(e),
-        });
+        let caught_up =
+            wires.bus.drain(&mut buf, |datagram, from| match protocol::decode(datagram) {
+                Ok((message, _)) => steer.message(from, &message, now, &mut out),
+                Err(e) => metrics::dropped(e),
+            });
         wires.packets.drain(&mut buf, |datagram, _| match packet::decode(datagram) {
             Ok(seg) => steer.packet(&seg, datagram, now, &mut out),
             Err(e) => metrics::dropped(e),
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 
 use crate::events;
-use crate::hold::{Holder, Out};
+use crate::tracker::{FlowTracker, Transmit};
 
 /// How long the target's port may take to answer; it is on the same VM.
 const PROBE: Duration = Duration::from_millis(300);
@@ -34,11 +34,11 @@
 
 /// What the port of the target showed is noted.
 pub(super) fn note(
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     found: Port,
     target: SocketAddrV4,
     now: Instant,
-    out: &mut impl Out,
+    out: &mut impl Transmit,
 ) {
     match found {
         Port::Closed => {
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -8,21 +8,21 @@
 use ntex::http::StatusCode;
 
 use super::announce::Entry;
-use crate::hold::Holder;
 use crate::listen::{Answer, Asked, Server};
 use crate::platform::report;
+use crate::tracker::FlowTracker;
 use crate::{events, metrics};
 
 /// Takes the target's reports.
 pub(super) async fn serve(
     addr: SocketAddr,
-    holder: Rc<RefCell<Holder>>,
+    holder: Rc<RefCell<FlowTracker>>,
     entry: Rc<Entry>,
 ) -> anyhow::Result<Server> {
     Server::start(addr, move |asked| heard(&asked, &mut holder.borrow_mut(), &entry)).await
 }
 
-fn heard(asked: &Asked, holder: &mut Holder, entry: &Entry) -> Answer {
+fn heard(asked: &Asked, holder: &mut FlowTracker, entry: &Entry) -> Answer {
     let now = Instant::now();
     match report::decode(&asked.path, &asked.body, entry.target) {
         Ok(Some(report::Call::Heartbeat(r))) => {
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -1,5 +1,5 @@
 //! The agent beside a target: hands it the packets of its flows, sends its
-//! packets to the callers, and takes its reports, as [`Holder`] decides.
+//! packets to the callers, and takes its reports, as [`FlowTracker`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -17,12 +17,12 @@
 use super::port::{self, Port};
 use super::socket::Socket;
 use super::{AGENTS, Settings, pause, reports, store};
-use crate::bus::{self, Message};
 use crate::flow::Flow;
-use crate::hold::{self, Holder, Target};
 use crate::listen::{Answer, Server};
 use crate::platform::packet;
+use crate::protocol::{self, Message};
 use crate::steer::Announced;
+use crate::tracker::{self, FlowTracker, Target};
 use crate::{events, metrics};
 
 /// Largest packet, in bytes.
@@ -75,7 +75,7 @@
     buf: &'a mut Vec<u8>,
 }
 
-impl hold::Out for Sender<'_> {
+impl tracker::Transmit for Sender<'_> {
     fn target(&mut self, packet: &[u8]) {
         self.wires.outbound.send(self.wires.target, packet);
     }
@@ -102,8 +102,8 @@
     let settings = Settings::load(path)?;
     let service = settings.service.clone().with_context(missing("service"))?;
     let wires = Wires::bind(&settings).await?;
-    let holder =
-        Holder::new(service.clone(), settings.flow_life()).policy(settings.policy.hold.clone());
+    let holder = FlowTracker::new(service.clone(), settings.flow_life())
+        .policy(settings.policy.hold.clone());
     let holder = Rc::new(RefCell::new(holder));
     let inspect = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
@@ -155,7 +155,7 @@
         () = last => {}
     }
     if !ended {
-        let mut buf = Vec::with_capacity(bus::DATAGRAM);
+        let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
         holder.borrow().hand_over(settings.bus(), &mut Sender { wires: &wires, buf: &mut buf });
     }
     desk.stop().await;
@@ -168,7 +168,7 @@
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
-async fn idle(holder: &RefCell<Holder>) {
+async fn idle(holder: &RefCell<FlowTracker>) {
     while !holder.borrow().idle() {
         tokio::time::sleep(STOP_POLL).await;
     }
@@ -176,16 +176,16 @@
 
 /// Whether the target's process is over, for an agent that is told to stop: its
 /// port is tried, as its goodbye may have been lost or be a moment old.
-async fn target_ended(wires: &Wires, holder: &RefCell<Holder>) -> bool {
+async fn target_ended(wires: &Wires, holder: &RefCell<FlowTracker>) -> bool {
     if !holder.borrow().ended() && port::probe(wires.target).await == Port::Closed {
-        let mut buf = Vec::with_capacity(bus::DATAGRAM);
+        let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
         let mut out = Sender { wires, buf: &mut buf };
         port::note(&mut holder.borrow_mut(), Port::Closed, wires.target, Instant::now(), &mut out);
     }
     holder.borrow().ended()
 }
 
-impl Inspect for Holder {
+impl Inspect for FlowTracker {
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value {
         Self::beliefs(self, flow, Instant::now())
     }
@@ -209,14 +209,14 @@
 fn read_bus(
     wires: &Wires,
     buf: &mut [u8],
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     now: Instant,
     out: &mut Sender<'_>,
 ) -> Heard {
     let mut heard = Heard::default();
     wires.bus.drain(buf, |datagram, from| {
         heard.any = true;
-        let Ok((message, packet)) = bus::decode(datagram) else {
+        let Ok((message, packet)) = protocol::decode(datagram) else {
             metrics::dropped("not a message");
             return;
         };
@@ -234,7 +234,7 @@
 fn read_target(
     wires: &Wires,
     buf: &mut [u8],
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     now: Instant,
     out: &mut Sender<'_>,
 ) {
@@ -245,9 +245,9 @@
 }
 
 /// Forwards packets until told otherwise.
-async fn forward(wires: &Wires, holder: &RefCell<Holder>, entry: &Entry) {
+async fn forward(wires: &Wires, holder: &RefCell<FlowTracker>, entry: &Entry) {
     let mut buf = vec![0; PACKET];
-    let mut scratch = Vec::with_capacity(bus::DATAGRAM);
+    let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
     let mut relisted: Option<Instant> = None;
     let mut probes = JoinSet::new();
     let mut heard_at = Instant::now();
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -7,9 +7,9 @@
 use anyhow::Context;
 use tokio::net::UdpSocket;
 
-use crate::bus::{self, Message};
 use crate::events;
 use crate::metrics::load;
+use crate::protocol::{self, Message};
 
 /// Most datagrams read at one wake-up, so that timers and the other socket
 /// get their turn.
@@ -78,7 +78,7 @@
         packet: &[u8],
         buf: &mut Vec<u8>,
     ) {
-        match bus::encode(message, packet, buf) {
+        match protocol::encode(message, packet, buf) {
             Ok(()) => {
                 if message.carries() {
                     load::carried(buf.len());
--- a/src/fabric/carry.rs
+++ b/src/fabric/carry.rs
@@ -13,8 +13,8 @@
 use crate::events;
 use crate::metrics::{self, Refusal, Retry};
 use crate::refusal;
-use crate::stream::{Reorder, Window};
-use crate::wire::{Answer, Kind, MAX_BODY, Owner, Packet, Reply};
+use crate::stream::{ReorderBuffer, SendWindow};
+use crate::wire::{MAX_BODY, Owner, Packet, PacketKind, Reply, ReplyKind};
 
 /// How long a flow lingers after the target closed, for the caller's last
 /// packets to be acknowledged.
@@ -79,15 +79,15 @@
     early: &mut VecDeque<Reply>,
 ) -> Opened {
     let deadline = Instant::now() + link.timers.open;
-    let mut p = link.packet(Kind::Open, Owner::NONE);
+    let mut p = link.packet(PacketKind::Open, Owner::NONE);
     while Instant::now() < deadline {
         link.spray.send(&p).await;
         let until = tokio::time::Instant::now() + link.timers.rto;
         loop {
             match tokio::time::timeout_at(until, rx.recv()).await {
                 Ok(Some(r)) => match r.answer {
-                    Answer::Accept => return Opened::Owner(r.owner),
-                    Answer::Refuse { body } => return Opened::Refused(body),
+                    ReplyKind::Accept => return Opened::Owner(r.owner),
+                    ReplyKind::Refuse { body } => return Opened::Refused(body),
                     _ => early.push_back(r),
                 },
                 Ok(None) => return Opened::Nobody,
@@ -114,9 +114,9 @@
     link: &'a Link,
     owner: Owner,
     wr: OwnedWriteHalf,
-    sent: Window<Packet>,
+    sent: SendWindow<Packet>,
     seq: u32,
-    answers: Reorder<Piece>,
+    answers: ReorderBuffer<Piece>,
     caller_done: bool,
     closed_at: Option<Instant>,
 }
@@ -127,9 +127,9 @@
             link,
             owner,
             wr,
-            sent: Window::new(link.timers.rto, Instant::now()),
+            sent: SendWindow::new(link.timers.rto, Instant::now()),
             seq: 1,
-            answers: Reorder::new(0),
+            answers: ReorderBuffer::new(0),
             caller_done: false,
             closed_at: None,
         }
@@ -186,10 +186,10 @@
             Over::Done if self.caller_done && self.sent.is_empty() => {}
             // The agent never saw the caller finish: let it free the flow.
             Over::Done | Over::CallerGone => {
-                self.link.spray.send(&self.link.packet(Kind::Reset, self.owner)).await;
+                self.link.spray.send(&self.link.packet(PacketKind::Reset, self.owner)).await;
             }
             Over::AgentGone => {
-                self.link.spray.send(&self.link.packet(Kind::Reset, self.owner)).await;
+                self.link.spray.send(&self.link.packet(PacketKind::Reset, self.owner)).await;
                 if let Ok(caller) = rd.reunite(self.wr) {
                     let _ = caller.set_zero_linger();
                 }
@@ -225,11 +225,11 @@
 
     /// Sends on what the caller wrote.
     async fn read(&mut self, rd: &OwnedReadHalf) -> Option<Over> {
-        let mut p = self.link.packet(Kind::Data, self.owner);
+        let mut p = self.link.packet(PacketKind::Data, self.owner);
         p.body = vec![0; MAX_BODY];
         match rd.try_read(&mut p.body) {
             Ok(0) => {
-                p.kind = Kind::Close;
+                p.kind = PacketKind::Close;
                 p.body = Vec::new();
                 self.caller_done = true;
             }
@@ -248,7 +248,7 @@
 
     /// Tells the agent how much of its answer has arrived.
     async fn acknowledge(&self) {
-        let mut p = self.link.packet(Kind::Ack, self.owner);
+        let mut p = self.link.packet(PacketKind::Ack, self.owner);
         p.ack = self.answers.next();
         self.link.spray.send(&p).await;
     }
@@ -256,21 +256,21 @@
     /// Takes one reply.
     async fn take(&mut self, r: Reply) -> Option<Over> {
         if r.owner != self.owner {
-            if r.answer == Answer::Accept {
+            if r.answer == ReplyKind::Accept {
                 // A second agent accepted a resent open: tell it to let go.
-                self.link.spray.send(&self.link.packet(Kind::Reset, r.owner)).await;
+                self.link.spray.send(&self.link.packet(PacketKind::Reset, r.owner)).await;
             }
             return None;
         }
         match r.answer {
-            Answer::Accept | Answer::Refuse { .. } => {}
-            Answer::Ack { next } => self.sent.ack(next, Instant::now()),
-            Answer::Data { seq, body } => self.answers.insert(seq, Piece::Bytes(body)),
-            Answer::Close { seq, clean } => self.answers.insert(seq, Piece::End { clean }),
+            ReplyKind::Accept | ReplyKind::Refuse { .. } => {}
+            ReplyKind::Ack { next } => self.sent.ack(next, Instant::now()),
+            ReplyKind::Data { seq, body } => self.answers.insert(seq, Piece::Bytes(body)),
+            ReplyKind::Close { seq, clean } => self.answers.insert(seq, Piece::End { clean }),
             // After the whole answer, a reset only says that the agent is
             // done with the flow.
-            Answer::Reset if self.closed_at.is_some() => return Some(Over::Done),
-            Answer::Reset => return Some(Over::AgentGone),
+            ReplyKind::Reset if self.closed_at.is_some() => return Some(Over::Done),
+            ReplyKind::Reset => return Some(Over::AgentGone),
         }
         while let Some(piece) = self.answers.pop() {
             match piece {
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -31,7 +31,7 @@
 use crate::admin::{self, Board, Faults};
 use crate::events;
 use crate::settings::{FabricSettings, Settings};
-use crate::wire::{self, Answer, Kind, Owner, Packet, Reply};
+use crate::wire::{self, Owner, Packet, PacketKind, Reply, ReplyKind};
 
 /// Largest datagram taken, in bytes.
 const DATAGRAM: usize = 64 * 1024;
@@ -69,7 +69,7 @@
 }
 
 impl Link {
-    fn packet(&self, kind: Kind, owner: Owner) -> Packet {
+    fn packet(&self, kind: PacketKind, owner: Owner) -> Packet {
         let (flow, port, reply) = (self.flow, self.port, self.reply);
         Packet { flow, port, kind, seq: 0, ack: 0, owner, reply, offer: None, body: Vec::new() }
     }
@@ -140,8 +140,8 @@
             });
         }
         // An agent took a flow that is over (a late open): it lets go.
-        (None, _) if r.answer == Answer::Accept => {
-            let (flow, port, owner, kind) = (r.flow, r.port, r.owner, Kind::Reset);
+        (None, _) if r.answer == ReplyKind::Accept => {
+            let (flow, port, owner, kind) = (r.flow, r.port, r.owner, PacketKind::Reset);
             let body = Vec::new();
             let p =
                 Packet { flow, port, kind, seq: 0, ack: 0, owner, reply: me, offer: None, body };
--- a/src/fabric/spray.rs
+++ b/src/fabric/spray.rs
@@ -10,7 +10,7 @@
 
 use crate::admin::{Board, Faults};
 use crate::metrics;
-use crate::wire::{self, Kind, Owner, Packet};
+use crate::wire::{self, Owner, Packet, PacketKind};
 
 /// Longest delay of a packet that [`Faults::delay`] picks, in milliseconds.
 const DELAY_MS: u64 = 40;
@@ -66,9 +66,11 @@
 
     /// Sends one packet through a balancer picked at random.
     pub async fn send(&self, p: &Packet) {
-        metrics::invariant(p.kind == Kind::Open || p.owner != Owner::NONE, "owner_named", || {
-            format!("flow {:x} {:?}", p.flow, p.kind)
-        });
+        metrics::invariant(
+            p.kind == PacketKind::Open || p.owner != Owner::NONE,
+            "owner_named",
+            || format!("flow {:x} {:?}", p.flow, p.kind),
+        );
         let Ok(bytes) = wire::encode(p) else { return };
         if let Outcome::Arrives(copies) = self.outcome(p.flow) {
             for _ in 0..copies {
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-pub use table::Table;
+pub use table::FlowTable;
 
 /// A flow's identity: the caller's end and the address it calls.
 #[derive(
@@ -129,7 +129,7 @@
 
 /// A caller's packet as it came.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival<'a> {
+pub struct ReceivedPacket<'a> {
     /// What its head says.
     pub seg: &'a Segment,
     /// Its bytes.
@@ -138,7 +138,7 @@
     pub now: Instant,
 }
 
-impl Arrival<'_> {
+impl ReceivedPacket<'_> {
     /// The flow that it belongs to.
     #[must_use]
     pub const fn flow(&self) -> Flow {
--- a/src/flow/table.rs
+++ b/src/flow/table.rs
@@ -17,13 +17,13 @@
 
 /// Flows with what is known of each.
 #[derive(Debug)]
-pub struct Table<T> {
+pub struct FlowTable<T> {
     entries: HashMap<Flow, Entry<T>>,
     queue: VecDeque<(Instant, Flow)>,
     idle: Duration,
 }
 
-impl<T> Table<T> {
+impl<T> FlowTable<T> {
     /// An empty table that forgets what was not used for `idle`.
     #[must_use]
     pub fn new(idle: Duration) -> Self {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,13 +6,13 @@
 //! - [`settings`]: typed, checked settings read from JSON with comments.
 //! - [`wire`]: the packets exchanged by fabric, balancers and agents.
 //! - [`stream`]: ordered delivery over datagrams.
-//! - [`flow`], [`bus`], [`steer`], [`hold`], [`edge`]: the path of packets that
+//! - [`flow`], [`protocol`], [`steer`], [`tracker`], [`edge`]: the path of packets that
 //!   callers and targets exchange end to end, and its roles on the platform.
 //! - [`policy`], [`budget`]: the figures that decide under load and trouble, and
 //!   the bound on work that would grow with it.
 //! - [`platform`]: names, formats and calls of the users' platform.
 //! - [`listen`]: a small HTTP server on the process's own thread.
-//! - [`table`]: the consistent-hash lookup table that picks a target.
+//! - [`maglev`]: the consistent-hash lookup table that picks a target.
 //! - [`store`]: the key-value service stand-in and its client.
 //! - [`balancer`], [`agent`], [`fabric`], [`target`]: the roles.
 //! - [`admin`]: what the processes of a site ask each other.
@@ -30,20 +30,20 @@
 pub mod balancer;
 pub mod bench;
 pub mod budget;
-pub mod bus;
 pub mod ctl;
 pub mod edge;
 pub mod events;
 pub mod experiment;
 pub mod fabric;
 pub mod flow;
-pub mod hold;
 pub mod listen;
 pub mod logs;
+pub mod maglev;
 pub mod metrics;
 pub mod model;
 pub mod platform;
 pub mod policy;
+pub mod protocol;
 pub mod record;
 pub mod refusal;
 pub mod relay;
@@ -52,8 +52,8 @@
 pub mod steer;
 pub mod store;
 pub mod stream;
-pub mod table;
 pub mod target;
+pub mod tracker;
 pub mod trial;
 pub mod up;
 pub mod wire;
--- a/src/table/mod.rs
+++ b/src/maglev/mod.rs
@@ -26,12 +26,12 @@
 
 /// A lookup table over a list of named entries.
 #[derive(Clone, Debug)]
-pub struct Table<T> {
+pub struct MaglevTable<T> {
     entries: Vec<(Arc<str>, T)>,
     buckets: Vec<u16>,
 }
 
-impl<T: Clone> Table<T> {
+impl<T: Clone> MaglevTable<T> {
     /// Builds the table. Entries are sorted by name first, so the table
     /// depends only on the set of names; past 65,535 the last ones get no flow.
     #[must_use]
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -16,9 +16,9 @@
     AGENT_MBPS, Agent, Balancer, Event, PROBE, REPORT, Step, World, agent_addr, balancer_addr, vip,
     zone_name,
 };
-use crate::hold::{Holder, Report, Start, State};
 use crate::policy::Policy;
 use crate::steer::{Announced, Route, Routes, Share, Steer};
+use crate::tracker::{FlowTracker, Incarnation, Report, TargetState};
 
 impl World {
     pub(super) fn new(site: &Site, policy: &Policy, seed: u64) -> Self {
@@ -114,18 +114,18 @@
         Steer::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60)).policy(policy)
     }
 
-    pub(super) fn holder(&self, service: usize) -> Holder {
+    pub(super) fn holder(&self, service: usize) -> FlowTracker {
         let name = self.site.services[service].name.into();
-        Holder::new(name, Duration::from_secs(60)).policy(self.policy.hold.clone())
+        FlowTracker::new(name, Duration::from_secs(60)).policy(self.policy.hold.clone())
     }
 
     pub(super) fn report(&self, service: usize, boot: u64, seq: u64) -> Report {
         let s = &self.site.services[service];
         Report {
-            start: Start { id: "target".into(), born: Some(boot * 1_000) },
+            start: Incarnation { id: "target".into(), born: Some(boot * 1_000) },
             service: s.name.into(),
             slots: s.slots,
-            state: State::Ready,
+            state: TargetState::Ready,
             cold: Duration::ZERO,
             seq,
         }
--- a/src/model/trouble.rs
+++ b/src/model/trouble.rs
@@ -8,7 +8,7 @@
 use super::pattern::Change;
 use super::wires::Wires;
 use super::world::{BOOT, Event, LISTED, PROBE, REPORT, REPORT_AGAIN, World, agent_addr};
-use crate::hold::Report;
+use crate::tracker::Report;
 
 /// How long a balancer that stops as planned forwards on, as the product does.
 const LINGER: Duration = Duration::from_millis(1_500);
--- a/src/model/wires.rs
+++ b/src/model/wires.rs
@@ -3,10 +3,10 @@
 
 use std::net::SocketAddrV4;
 
-use crate::bus::{self, Message};
 use crate::flow::Flow;
 use crate::platform::packet;
-use crate::{hold, steer};
+use crate::protocol::{self, Message};
+use crate::{steer, tracker};
 
 /// One thing sent.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     fn message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         let mut bytes = Vec::new();
         let carries = message.carries();
-        match bus::encode(message, packet, &mut bytes) {
+        match protocol::encode(message, packet, &mut bytes) {
             Ok(()) => self.0.push(Sent::Peer { to, bytes, carries }),
             Err(e) => log::error!(to:% = to, error:% = e; "message not encoded"),
         }
@@ -53,7 +53,7 @@
     }
 }
 
-impl hold::Out for Wires {
+impl tracker::Transmit for Wires {
     fn target(&mut self, packet: &[u8]) {
         self.0.push(Sent::Target(packet.to_vec()));
     }
--- a/src/model/world.rs
+++ b/src/model/world.rs
@@ -16,12 +16,12 @@
 use super::stats::Stats;
 use super::target::{Target, Timer};
 use super::wires::Wires;
-use crate::bus;
 use crate::flow::Flow;
-use crate::hold::Holder;
 use crate::platform::packet;
 use crate::policy::Policy;
+use crate::protocol;
 use crate::steer::Steer;
+use crate::tracker::FlowTracker;
 
 /// Delay between an agent and the target on its VM.
 pub(super) const LOCAL: Duration = Duration::from_micros(50);
@@ -126,7 +126,7 @@
 /// An agent with its VM and target.
 pub(super) struct Agent {
     pub(super) host: Host,
-    pub(super) holder: Holder,
+    pub(super) holder: FlowTracker,
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
@@ -273,7 +273,7 @@
         let Batch { packets, messages } = b.host.read();
         let mut out = Wires::default();
         for (from, bytes) in &messages {
-            if let Ok((message, _)) = bus::decode(bytes) {
+            if let Ok((message, _)) = protocol::decode(bytes) {
                 b.steer.message(*from, &message, self.now, &mut out);
             }
         }
@@ -307,7 +307,7 @@
         let Batch { mut packets, messages } = a.host.read();
         let mut out = Wires::default();
         for (from, bytes) in &messages {
-            let Ok((message, rest)) = bus::decode(bytes) else { continue };
+            let Ok((message, rest)) = protocol::decode(bytes) else { continue };
             let seg = packet::decode(rest).ok();
             a.holder.message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
         }
--- a/src/platform/report.rs
+++ b/src/platform/report.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-use crate::hold::{Report, Start, State};
+use crate::tracker::{Incarnation, Report, TargetState};
 
 /// Path of a target's heartbeat, before its id.
 pub const HEARTBEAT: &str = "/v1/Instances.Heartbeat/";
@@ -24,7 +24,7 @@
     /// A heartbeat.
     Heartbeat(Report),
     /// This start of the target ends now.
-    Gone(Start),
+    Gone(Incarnation),
 }
 
 #[derive(Debug, Deserialize)]
@@ -63,7 +63,7 @@
 
 /// The body of a heartbeat, as the stand-in of a target sends it.
 #[must_use]
-pub fn body(service: &str, addr: SocketAddrV4, state: State, seq: u64) -> serde_json::Value {
+pub fn body(service: &str, addr: SocketAddrV4, state: TargetState, seq: u64) -> serde_json::Value {
     serde_json::json!({
         "service": service, "address": addr, "zone": "", "version": "v1", "capacity": 5,
         "state": state.to_string(), "warmup_left_ms": 0, "seq": seq,
@@ -79,7 +79,7 @@
 pub fn decode(path: &str, body: &[u8], target: SocketAddrV4) -> anyhow::Result<Option<Call>> {
     if let Some(id) = path.strip_prefix(GONE) {
         let b = if body.is_empty() { GoneBody::default() } else { read("end", id, body)? };
-        return Ok(Some(Call::Gone(Start { id: id.into(), born: b.born })));
+        return Ok(Some(Call::Gone(Incarnation { id: id.into(), born: b.born })));
     }
     let Some(id) = path.strip_prefix(HEARTBEAT) else { return Ok(None) };
     let b: Body = read("heartbeat", id, body)?;
@@ -87,12 +87,12 @@
         bail!("heartbeat of target {id}: address: {} is not {target}", b.address);
     }
     Ok(Some(Call::Heartbeat(Report {
-        start: Start { id: id.into(), born: b.born },
+        start: Incarnation { id: id.into(), born: b.born },
         service: b.service,
         slots: b.capacity,
         state: match b.state {
-            Word::Ready => State::Ready,
-            Word::Draining => State::Draining,
+            Word::Ready => TargetState::Ready,
+            Word::Draining => TargetState::Draining,
         },
         cold: Duration::from_millis(b.warmup_left_ms),
         seq: b.seq,
--- a/src/bus/mod.rs
+++ b/src/protocol/mod.rs
@@ -15,7 +15,7 @@
 
 /// Largest datagram between balancers and agents, in bytes: a packet of 1,236
 /// bytes and a message head of at most 200.
-pub const DATAGRAM: usize = 2_048;
+pub const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,18 +23,22 @@
     /// The packet that follows asks to open a flow.
     Open(#[serde(borrow)] Open<'a>),
     /// The packet that follows belongs to an open flow.
-    Carry {
+    #[serde(rename = "Carry")]
+    Forward {
         /// The service that the flow's route names.
         service: &'a str,
         /// What the agent does if it does not know the flow.
-        mode: Mode,
+        mode: ForwardMode,
     },
     /// An agent tells a balancer of a flow.
-    Note(Note),
+    #[serde(rename = "Note")]
+    FlowUpdate(FlowUpdate),
     /// A balancer asks an agent which of these flows its target holds.
-    Ask(#[serde(borrow)] Ask<'a>),
-    /// An agent answers an [`Ask`].
-    Answers {
+    #[serde(rename = "Ask")]
+    Query(#[serde(borrow)] Query<'a>),
+    /// An agent answers an [`Query`].
+    #[serde(rename = "Answers")]
+    Response {
         /// What it knows of each flow.
         answers: Vec<Answer>,
         /// Its load, as [`crate::agent::place::load`].
@@ -61,8 +65,9 @@
         load: u32,
     },
     /// An agent that answered a [`Message::Ping`] says that no process of its target
-    /// runs, as [`FlowStatus::Ended`].
-    Ended,
+    /// runs, as [`FlowStatus::TargetEnded`].
+    #[serde(rename = "Ended")]
+    TargetEnded,
 }
 
 impl Message<'_> {
@@ -70,7 +75,7 @@
     /// find or place flows.
     #[must_use]
     pub const fn carries(&self) -> bool {
-        matches!(self, Self::Carry { mode: Mode::Owner, .. })
+        matches!(self, Self::Forward { mode: ForwardMode::Owner, .. })
     }
 }
 
@@ -89,14 +94,14 @@
     pub reply: SocketAddrV4,
 }
 
-/// Most flows in one [`Ask`]: with their answers, which are longer, they fit a
+/// Most flows in one [`Query`]: with their answers, which are longer, they fit a
 /// packet of 1,236 bytes, so that no link has to cut it.
-pub const QUESTIONS: usize = 40;
+pub const MAX_QUESTIONS: usize = 40;
 
 /// Which agent's target holds some flows. It carries none of their data: most
 /// agents that are asked do not hold them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The service that the flows' route names.
     pub service: &'a str,
     /// The flows.
@@ -127,7 +132,7 @@
 
 /// What an agent does with a packet of a flow that it does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Mode {
+pub enum ForwardMode {
     /// The balancer believes that the flow is the agent's: an agent that may
     /// have forgotten flows tries its target.
     Owner,
@@ -138,7 +143,7 @@
 
 /// What became of a flow at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct FlowUpdate {
     /// The flow.
     pub flow: Flow,
     /// What became of it.
@@ -163,7 +168,8 @@
     NotOwner,
     /// No process of its target runs: it holds no flow, and takes none before the
     /// store can name the target's next start.
-    Ended,
+    #[serde(rename = "Ended")]
+    TargetEnded,
 }
 
 /// Encodes `message`, followed by `packet`, into `buf`.
@@ -173,9 +179,9 @@
 /// Fails when the message does not fit a datagram.
 pub fn encode(message: &Message<'_>, packet: &[u8], buf: &mut Vec<u8>) -> postcard::Result<()> {
     buf.clear();
-    buf.resize(DATAGRAM, 0);
+    buf.resize(MAX_DATAGRAM_BYTES, 0);
     let used = postcard::to_slice(message, buf)?.len();
-    if used + packet.len() > DATAGRAM {
+    if used + packet.len() > MAX_DATAGRAM_BYTES {
         return Err(postcard::Error::SerializeBufferFull);
     }
     buf.truncate(used);
--- a/src/steer/mod.rs
+++ b/src/steer/mod.rs
@@ -36,11 +36,11 @@
 pub use state::{FlowState, Opening};
 
 use crate::budget::Bucket;
-use crate::bus::{Answer, FlowStatus, Message, Mode, Note};
 use crate::events;
-use crate::flow::{Arrival, Flow, Segment, Table};
+use crate::flow::{Flow, FlowTable, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal};
 use crate::policy::Steering;
+use crate::protocol::{Answer, FlowStatus, FlowUpdate, ForwardMode, Message};
 
 /// What a balancer sends.
 pub trait Out {
@@ -59,7 +59,7 @@
     routes: Option<Routes>,
     /// The agents that the balancer believes in.
     pub roster: Roster,
-    flows: Table<FlowState>,
+    flows: FlowTable<FlowState>,
     due: DueQueue,
     policy: Steering,
     queries: Queries,
@@ -87,7 +87,7 @@
             zone,
             routes: None,
             roster: Roster::default(),
-            flows: Table::new(idle),
+            flows: FlowTable::new(idle),
             due: DueQueue::default(),
             policy: Steering::default(),
             queries: Queries::new(0.0, 0.0),
@@ -153,7 +153,7 @@
 
     /// Takes one packet of a caller.
     pub fn packet(&mut self, seg: &Segment, packet: &[u8], now: Instant, out: &mut impl Out) {
-        let came = Arrival { seg, packet, now };
+        let came = ReceivedPacket { seg, packet, now };
         if self.routes.is_none() {
             self.park(&came);
             return;
@@ -164,7 +164,7 @@
         }
         match self.flows.get(came.flow(), now) {
             Some(FlowState::At { agent, service }) if !self.roster.gone(*agent, now) => {
-                let message = Message::Carry { service, mode: Mode::Owner };
+                let message = Message::Forward { service, mode: ForwardMode::Owner };
                 out.agent(*agent, &message, packet);
             }
             _ => self.search(&came, out),
@@ -180,23 +180,23 @@
         out: &mut impl Out,
     ) {
         match message {
-            Message::Note(note) => self.note(from, *note, now, out),
-            Message::Answers { answers, load } => self.answers(from, answers, *load, now, out),
+            Message::FlowUpdate(note) => self.note(from, *note, now, out),
+            Message::Response { answers, load } => self.answers(from, answers, *load, now, out),
             Message::Pong { service, load } => self.roster.pong(from, service, *load, now),
-            Message::Ended => self.roster.said(from, FlowStatus::Ended),
+            Message::TargetEnded => self.roster.said(from, FlowStatus::TargetEnded),
             _ => {}
         }
     }
 
     /// Takes what an agent says of a flow.
-    pub fn note(&mut self, from: SocketAddrV4, note: Note, now: Instant, out: &mut impl Out) {
+    pub fn note(&mut self, from: SocketAddrV4, note: FlowUpdate, now: Instant, out: &mut impl Out) {
         self.roster.heard(from, note.load, now);
         self.roster.said(from, note.status);
         match note.status {
             FlowStatus::Held => self.held(from, note.flow, now, out),
             FlowStatus::Refused(reason) => self.refused(from, note.flow, reason, now, out),
             FlowStatus::Unknown
-            | FlowStatus::Ended
+            | FlowStatus::TargetEnded
             | FlowStatus::Unverified
             | FlowStatus::NotOwner => {
                 self.unknown(from, note.flow, note.status, now, out);
@@ -334,7 +334,7 @@
     }
 
     /// Keeps a packet that came before any configuration was known.
-    fn park(&mut self, came: &Arrival<'_>) {
+    fn park(&mut self, came: &ReceivedPacket<'_>) {
         if self.parked.len() >= self.policy.parked {
             metrics::refused(Refusal::NoConfig);
             self.parked.pop_front();
--- a/src/steer/opens.rs
+++ b/src/steer/opens.rs
@@ -4,15 +4,15 @@
 use std::time::{Duration, Instant};
 
 use super::{FlowState, Opening, Out, Steer, refuse};
-use crate::bus::{Message, Open};
 use crate::events;
-use crate::flow::{Arrival, Flow};
+use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal, Retry};
-use crate::wire::{Offer, Stage};
+use crate::protocol::{Message, Open};
+use crate::wire::{Offer, OfferStage};
 
 impl Steer {
     /// Offers a new flow, or the copy of one, to agents.
-    pub(super) fn open(&mut self, came: &Arrival<'_>, out: &mut impl Out) {
+    pub(super) fn open(&mut self, came: &ReceivedPacket<'_>, out: &mut impl Out) {
         let (flow, seq, now) = (came.flow(), came.seg.seq, came.now);
         let Some((route, share)) = self.routes.as_ref().and_then(|r| r.find(flow)) else {
             refuse(flow, Refusal::NoProfile, out);
@@ -72,7 +72,7 @@
         let pair =
             self.roster.pick(&opening.service, &self.zone, flow, first, &opening.offered, now);
         let Some((first, second)) = pair else { return false };
-        let stage = if second.is_some() { Stage::Ask } else { Stage::Take };
+        let stage = if second.is_some() { OfferStage::Ask } else { OfferStage::Take };
         let open = Open {
             service: &opening.service,
             max_flows: opening.max_flows,
--- a/src/steer/owner.rs
+++ b/src/steer/owner.rs
@@ -9,15 +9,15 @@
 use std::time::Instant;
 
 use super::{FlowState, Out, Search, Steer, refuse_at};
-use crate::bus::{Answer, FlowStatus, Message, Mode};
 use crate::events;
-use crate::flow::{Arrival, Flow};
+use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal, Retry};
+use crate::protocol::{Answer, FlowStatus, ForwardMode, Message};
 
 impl Steer {
     /// Has the owner of a flow found, and keeps its packet until then.
-    pub(super) fn search(&mut self, came: &Arrival<'_>, out: &mut impl Out) {
-        let Arrival { seg, now, .. } = *came;
+    pub(super) fn search(&mut self, came: &ReceivedPacket<'_>, out: &mut impl Out) {
+        let ReceivedPacket { seg, now, .. } = *came;
         let flow = came.flow();
         let Some(routes) = &self.routes else { return };
         let Some(share) = routes.share(flow) else {
@@ -200,7 +200,7 @@
             // It has the last packet, which was tried at its target.
             return;
         }
-        let message = Message::Carry { service: &search.service, mode: Mode::Owner };
+        let message = Message::Forward { service: &search.service, mode: ForwardMode::Owner };
         for packet in &search.packets {
             out.agent(from, &message, packet);
         }
--- a/src/steer/queries.rs
+++ b/src/steer/queries.rs
@@ -8,8 +8,8 @@
 
 use super::Out;
 use crate::budget::Bucket;
-use crate::bus::{Ask, Message, QUESTIONS, Question};
 use crate::flow::Flow;
+use crate::protocol::{MAX_QUESTIONS, Message, Query, Question};
 
 #[derive(Debug, Default)]
 struct Queue {
@@ -63,9 +63,9 @@
             }
             self.turns.pop_front();
             let Some(queue) = self.queues.get_mut(&agent) else { continue };
-            let part = queue.questions.len().min(QUESTIONS);
+            let part = queue.questions.len().min(MAX_QUESTIONS);
             let questions = queue.questions.drain(..part).collect();
-            out.agent(agent, &Message::Ask(Ask { service: &queue.service, questions }), &[]);
+            out.agent(agent, &Message::Query(Query { service: &queue.service, questions }), &[]);
             if queue.questions.is_empty() {
                 self.queues.remove(&agent);
             } else {
--- a/src/steer/roster.rs
+++ b/src/steer/roster.rs
@@ -16,10 +16,10 @@
 use super::Out;
 use crate::agent::place::UNABLE;
 use crate::budget::Bucket;
-use crate::bus::{FlowStatus, Message};
 use crate::flow::Flow;
-use crate::hold::Start;
 use crate::policy::Suspicion;
+use crate::protocol::{FlowStatus, Message};
+use crate::tracker::Incarnation;
 
 /// An agent as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     pub service: Arc<str>,
     /// The start of its target for which it has taken flows.
     #[serde(default)]
-    pub target: Option<Start>,
+    pub target: Option<Incarnation>,
 }
 
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     zone: Arc<str>,
     service: Arc<str>,
     /// The start of its target that its entry names.
-    target: Option<Start>,
+    target: Option<Incarnation>,
     /// It said that no process of its target runs.
     ended: bool,
     /// Since when the store does not list it.
@@ -302,7 +302,7 @@
     pub fn said(&mut self, addr: SocketAddrV4, status: FlowStatus) {
         if let Some(a) = self.agents.get_mut(&addr) {
             match status {
-                FlowStatus::Ended => a.ended = true,
+                FlowStatus::TargetEnded => a.ended = true,
                 FlowStatus::Held
                 | FlowStatus::Unknown
                 | FlowStatus::Unverified
--- a/src/steer/search.rs
+++ b/src/steer/search.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use super::Out;
-use crate::bus::{FlowStatus, Message, Mode, Question};
 use crate::flow::{Flow, Segment};
 use crate::metrics;
 use crate::policy::Steering;
+use crate::protocol::{FlowStatus, ForwardMode, Message, Question};
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
@@ -126,7 +126,7 @@
     /// there was one.
     pub(super) fn try_at(&mut self, agents: &[SocketAddrV4], out: &mut impl Out) -> bool {
         let Some(packet) = self.packets.back() else { return false };
-        let message = Message::Carry { service: &self.service, mode: Mode::Try };
+        let message = Message::Forward { service: &self.service, mode: ForwardMode::Try };
         for agent in agents {
             out.agent(*agent, &message, packet);
         }
--- a/src/stream/mod.rs
+++ b/src/stream/mod.rs
@@ -5,5 +5,5 @@
 mod reorder;
 mod window;
 
-pub use reorder::Reorder;
-pub use window::Window;
+pub use reorder::ReorderBuffer;
+pub use window::SendWindow;
--- a/src/stream/reorder.rs
+++ b/src/stream/reorder.rs
@@ -8,12 +8,12 @@
 
 /// Pieces that arrived, waiting for the ones before them.
 #[derive(Clone, Debug)]
-pub struct Reorder<T> {
+pub struct ReorderBuffer<T> {
     next: u32,
     held: BTreeMap<u32, T>,
 }
 
-impl<T> Reorder<T> {
+impl<T> ReorderBuffer<T> {
     /// Waits for position `first` at the start.
     #[must_use]
     pub const fn new(first: u32) -> Self {
--- a/src/stream/window.rs
+++ b/src/stream/window.rs
@@ -18,7 +18,7 @@
 
 /// Pieces sent and not yet acknowledged, oldest first.
 #[derive(Clone, Debug)]
-pub struct Window<T> {
+pub struct SendWindow<T> {
     pieces: VecDeque<(u32, T)>,
     rto: Duration,
     wait: Duration,
@@ -26,7 +26,7 @@
     moved: Instant,
 }
 
-impl<T> Window<T> {
+impl<T> SendWindow<T> {
     /// An empty window with the resend timeout `rto`.
     #[must_use]
     pub const fn new(rto: Duration, now: Instant) -> Self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When to call [`Window::resend`] next.
+    /// When to call [`SendWindow::resend`] next.
     #[must_use]
     pub const fn due(&self) -> Option<Instant> {
         self.due
--- a/src/hold/opens.rs
+++ b/src/tracker/admission.rs
@@ -3,16 +3,16 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{Held, Holder, Out, Stage, pass};
+use super::{FlowPhase, FlowTracker, TrackedFlow, Transmit, pass};
 use crate::agent::place::{self, UNABLE, place};
 use crate::agent::{Admit, Step, admit};
-use crate::bus::{FlowStatus, Open};
 use crate::events;
-use crate::flow::{Arrival, Flow};
+use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal};
+use crate::protocol::{FlowStatus, Open};
 use crate::wire::Offer;
 
-impl Holder {
+impl FlowTracker {
     pub(super) fn load(&self, now: Instant) -> u32 {
         let Some(t) = &self.target else { return UNABLE };
         if self.stopping || self.ending.is_some() || !t.takes() || self.full(now) {
@@ -48,12 +48,17 @@
     }
 
     /// An open offered to this agent.
-    pub(super) fn open(&mut self, open: &Open<'_>, came: &Arrival<'_>, out: &mut impl Out) {
+    pub(super) fn open(
+        &mut self,
+        open: &Open<'_>,
+        came: &ReceivedPacket<'_>,
+        out: &mut impl Transmit,
+    ) {
         let (flow, now) = (came.flow(), came.now);
         if let Some(h) = self.flows.get(flow, now) {
             if h.opened_by(came.seg) {
                 h.reply = Some(open.reply);
-                let answered = !matches!(h.stage, Stage::Opening { .. });
+                let answered = !matches!(h.stage, FlowPhase::Opening { .. });
                 out.target(came.packet);
                 if answered {
                     self.note(flow, FlowStatus::Held, open.reply, now, out);
@@ -87,7 +92,12 @@
         }
     }
 
-    pub(super) fn take(&mut self, open: &Open<'_>, came: &Arrival<'_>, out: &mut impl Out) {
+    pub(super) fn take(
+        &mut self,
+        open: &Open<'_>,
+        came: &ReceivedPacket<'_>,
+        out: &mut impl Transmit,
+    ) {
         let (flow, now) = (came.flow(), came.now);
         if events::sampled(flow.hash64()) {
             log::info!(
@@ -98,10 +108,11 @@
         }
         self.hints.remove(flow);
         let stage =
-            Stage::Opening { offer: open.offer, max_flows: open.max_flows, aged: open.aged };
+            FlowPhase::Opening { offer: open.offer, max_flows: open.max_flows, aged: open.aged };
         let other = open.offer.other();
         self.peer = other.or(self.peer);
-        let held = Held { reply: Some(open.reply), other, ..Held::new(stage, came.seg.seq) };
+        let held =
+            TrackedFlow { reply: Some(open.reply), other, ..TrackedFlow::new(stage, came.seg.seq) };
         self.flows.insert(flow, held, now);
         self.wait(flow, true, now);
         self.opens.push_back((now + self.policy.open_wait, flow));
@@ -116,7 +127,7 @@
         reason: Refusal,
         reply: SocketAddrV4,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         metrics::refused(reason);
         log::info!(
--- a/src/hold/life.rs
+++ b/src/tracker/lifecycle.rs
@@ -3,12 +3,15 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{Held, Holder, Ignored, Out, Queue, Report, Stage, Start, Target, reset};
-use crate::bus::Message;
+use super::{
+    FlowPhase, FlowTracker, IgnoreReason, Incarnation, Queue, Report, Target, TrackedFlow,
+    Transmit, reset,
+};
 use crate::flow::Flow;
+use crate::protocol::Message;
 use crate::{events, metrics};
 
-impl Holder {
+impl FlowTracker {
     /// Takes a report of the target; says whether it changed what the agent
     /// believes.
     ///
@@ -56,9 +59,9 @@
     }
 
     /// Why a report says nothing of this agent's target.
-    fn ignores(&self, report: &Report, now: Instant) -> Option<Ignored> {
+    fn ignores(&self, report: &Report, now: Instant) -> Option<IgnoreReason> {
         if *report.service != *self.service {
-            return Some(Ignored::Service);
+            return Some(IgnoreReason::Service);
         }
         self.target.as_ref().and_then(|t| t.ignores(&report.start, now))
     }
@@ -68,7 +71,7 @@
     /// Where it does not say which start that is, an earlier one under the same
     /// identity may have said it, and a late call would end the flows of this
     /// one: the target's port is tried instead.
-    pub fn gone(&mut self, start: &Start, now: Instant) -> bool {
+    pub fn gone(&mut self, start: &Incarnation, now: Instant) -> bool {
         let Some(current) = self.target.as_ref().map(Target::start) else { return false };
         if current == start {
             self.ending = Some(now + self.policy.ending);
@@ -88,11 +91,11 @@
     ///
     /// Without it, agents and balancers rolled out in turn lose the requests of
     /// the flows that both have forgotten.
-    pub fn hand_over(&self, me: SocketAddrV4, out: &mut impl Out) {
+    pub fn hand_over(&self, me: SocketAddrV4, out: &mut impl Transmit) {
         if !self.policy.hints || self.absent {
             return;
         }
-        let open = self.flows.iter().filter(|(_, h)| h.stage == Stage::Open);
+        let open = self.flows.iter().filter(|(_, h)| h.stage == FlowPhase::Open);
         let own = open.filter_map(|(f, h)| Some((h.other.or(self.peer)?, f, me)));
         let named = self.hints.iter().filter(|(_, owner)| **owner != me);
         let mut all: Vec<_> = own.chain(named.map(|(f, owner)| (*owner, f, *owner))).collect();
@@ -105,11 +108,11 @@
 
     /// The target's process is over: its flows are gone, and their callers
     /// are told so that they can come again at once.
-    pub(super) fn drop_flows(&mut self, out: &mut impl Out) {
+    pub(super) fn drop_flows(&mut self, out: &mut impl Transmit) {
         let mut lost: Vec<(Flow, u32)> = self
             .flows
             .iter()
-            .filter(|(_, h)| h.stage == Stage::Open && h.caller_ack != 0)
+            .filter(|(_, h)| h.stage == FlowPhase::Open && h.caller_ack != 0)
             .map(|(f, h)| (f, h.caller_ack))
             .collect();
         // In one order, so that one seed of the model gives one run.
@@ -137,7 +140,7 @@
 
     /// The target's port is closed: its process is over, and its flows with
     /// it. The next start reports itself.
-    pub fn crashed(&mut self, out: &mut impl Out) {
+    pub fn crashed(&mut self, out: &mut impl Transmit) {
         if let Some(t) = &mut self.target {
             t.end();
         }
@@ -162,7 +165,7 @@
         let Some(h) = self.flows.get(flow, now) else { return };
         if h.waiting.is_some() != on {
             let since = std::mem::replace(&mut h.waiting, on.then_some(now));
-            let opened = !matches!(h.stage, Stage::Opening { .. } | Stage::Answered(_));
+            let opened = !matches!(h.stage, FlowPhase::Opening { .. } | FlowPhase::Answered(_));
             if let Some(at) = since.filter(|_| opened) {
                 self.answers.note(now.duration_since(at));
             }
@@ -173,15 +176,15 @@
 
     pub(super) fn close(&mut self, flow: Flow, now: Instant) {
         if let Some(h) = self.flows.get(flow, now)
-            && h.stage != Stage::Closed
+            && h.stage != FlowPhase::Closed
         {
-            h.stage = Stage::Closed;
+            h.stage = FlowPhase::Closed;
             self.ended.push_back((now + self.policy.closed, flow));
         }
         self.wait(flow, false, now);
     }
 
-    pub(super) fn remove(&mut self, flow: Flow) -> Option<Held> {
+    pub(super) fn remove(&mut self, flow: Flow) -> Option<TrackedFlow> {
         let held = self.flows.remove(flow)?;
         if held.waiting.is_some() {
             self.waiting = self.waiting.saturating_sub(1);
@@ -189,7 +192,7 @@
         Some(held)
     }
 
-    /// When [`Holder::tick`] next has something to do.
+    /// When [`FlowTracker::tick`] next has something to do.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         let queues = [&self.opens, &self.unanswered, &self.working, &self.ended];
@@ -199,15 +202,15 @@
     }
 
     /// Does what has come due by `now`.
-    pub fn tick(&mut self, now: Instant, out: &mut impl Out) {
+    pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
         while let Some(flow) = due(&mut self.opens, now) {
             let stage = self.flows.peek(flow).map(|h| h.stage);
-            if matches!(stage, Some(Stage::Opening { .. } | Stage::Answered(_))) {
+            if matches!(stage, Some(FlowPhase::Opening { .. } | FlowPhase::Answered(_))) {
                 self.wait(flow, false, now);
             }
         }
         while let Some(flow) = due(&mut self.unanswered, now) {
-            if matches!(self.flows.peek(flow).map(|h| h.stage), Some(Stage::Opening { .. })) {
+            if matches!(self.flows.peek(flow).map(|h| h.stage), Some(FlowPhase::Opening { .. })) {
                 self.remove(flow);
             }
         }
@@ -218,7 +221,7 @@
             }
         }
         while let Some(flow) = due(&mut self.ended, now) {
-            if self.flows.peek(flow).is_some_and(|h| h.stage == Stage::Closed) {
+            if self.flows.peek(flow).is_some_and(|h| h.stage == FlowPhase::Closed) {
                 self.remove(flow);
             }
         }
--- a/src/hold/demand.rs
+++ b/src/tracker/load.rs
@@ -22,20 +22,20 @@
 
 /// The running mean.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
+pub struct LoadEstimate {
     at: Option<Instant>,
     /// Seconds of waiting requests, and of open flows, decayed over [`SPAN`].
     waiting: f64,
     flows: f64,
 }
 
-impl Default for Demand {
+impl Default for LoadEstimate {
     fn default() -> Self {
         Self { at: None, waiting: FIRST, flows: 1.0 }
     }
 }
 
-impl Demand {
+impl LoadEstimate {
     /// Until `now`, `waiting` requests waited on `flows` open flows.
     pub fn observe(&mut self, waiting: u32, flows: usize, now: Instant) {
         let Some(before) = self.at.replace(now) else { return };
--- a/src/hold/mod.rs
+++ b/src/tracker/mod.rs
@@ -1,40 +1,40 @@
 //! An agent's decisions on the packets of its target: which flows the target
 //! holds, which new ones it takes. No sockets and no clocks: time comes in as
-//! an argument, what is to be sent goes out through [`Out`].
+//! an argument, what is to be sent goes out through [`Transmit`].
 //!
 //! The agent sees both directions at its target, so it knows for certain what
 //! the target holds, but for flows that opened before the agent started
 //! ([`Target::complete`]); those it finds by trying.
 
-mod asked;
-mod demand;
-mod held;
-mod life;
-mod opens;
+mod admission;
+mod lifecycle;
+mod load;
 mod packets;
+mod queries;
 mod target;
+mod tracked_flow;
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub use demand::Demand;
-pub use held::{Held, Stage};
-pub use target::{Ignored, Predecessor, Report, Start, State, Target};
+pub use load::LoadEstimate;
+pub use target::{IgnoreReason, Incarnation, Predecessor, Report, Target, TargetState};
+pub use tracked_flow::{FlowPhase, TrackedFlow};
 
-use crate::bus::{Message, Open};
 use crate::events;
-use crate::flow::{Arrival, Flow, Segment, Table};
+use crate::flow::{Flow, FlowTable, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal, Retry};
 use crate::policy::Holding;
+use crate::protocol::{Message, Open};
 use crate::wire::Offer;
 
 /// Where notes go that nobody waits for.
 const NOBODY: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0);
 
 /// What an agent sends.
-pub trait Out {
+pub trait Transmit {
     /// A packet to the target.
     fn target(&mut self, packet: &[u8]);
     /// A packet of the target to its caller.
@@ -52,20 +52,20 @@
 
 /// One agent's knowledge of its target.
 #[derive(Debug)]
-pub struct Holder {
+pub struct FlowTracker {
     service: Arc<str>,
     target: Option<Target>,
     before: Option<Predecessor>,
-    flows: Table<Held>,
+    flows: FlowTable<TrackedFlow>,
     policy: Holding,
     /// Agents to which opens were passed on, and those that balancers or stopping
     /// agents named, this one among them: what it says when asked for the flow.
-    hints: Table<SocketAddrV4>,
+    hints: FlowTable<SocketAddrV4>,
     /// An agent of the service, the last that shared an offer with this one.
     peer: Option<SocketAddrV4>,
     /// Flows whose target has work to do.
     waiting: u32,
-    demand: Demand,
+    demand: LoadEstimate,
     answers: metrics::Answers,
     /// Until when the target is taken to be full, after it gave an open back.
     full_until: Option<Instant>,
@@ -96,7 +96,7 @@
     silent_since: Option<Instant>,
 }
 
-impl Holder {
+impl FlowTracker {
     /// The agent of a target of `service`; flows without packets for `idle` are forgotten.
     #[must_use]
     pub fn new(service: Arc<str>, idle: Duration) -> Self {
@@ -105,12 +105,12 @@
             service,
             target: None,
             before: None,
-            flows: Table::new(idle),
+            flows: FlowTable::new(idle),
             policy: Holding::default(),
-            hints: Table::new(idle),
+            hints: FlowTable::new(idle),
             peer: None,
             waiting: 0,
-            demand: Demand::default(),
+            demand: LoadEstimate::default(),
             full_until: None,
             opens: Queue::default(),
             unanswered: Queue::default(),
@@ -137,7 +137,7 @@
     /// An earlier process beside the target last took flows for the start
     /// `target`, if that is known; this one takes the target's reports from
     /// `now` on.
-    pub fn follows(&mut self, target: Option<Start>, now: Instant) {
+    pub fn follows(&mut self, target: Option<Incarnation>, now: Instant) {
         self.before = target.map(|target| Predecessor { target, until: now });
     }
 
@@ -215,25 +215,27 @@
         seg: Option<&Segment>,
         packet: &[u8],
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         match (message, seg) {
-            (Message::Open(open), Some(seg)) => self.open(open, &Arrival { seg, packet, now }, out),
-            (Message::Carry { service, mode }, Some(seg)) => {
+            (Message::Open(open), Some(seg)) => {
+                self.open(open, &ReceivedPacket { seg, packet, now }, out)
+            }
+            (Message::Forward { service, mode }, Some(seg)) => {
                 if **service == *self.service {
-                    self.carry(from, *mode, &Arrival { seg, packet, now }, out);
+                    self.carry(from, *mode, &ReceivedPacket { seg, packet, now }, out);
                 } else {
                     metrics::refused(Refusal::ForeignOwner);
                 }
             }
-            (Message::Ask(ask), _) => self.asked(from, ask, now, out),
+            (Message::Query(ask), _) => self.asked(from, ask, now, out),
             (Message::Hint { flow, agent }, _) => self.hints.insert(*flow, *agent, now),
             (Message::Ping { .. }, _) => {
                 let load = self.load(now);
                 out.peer(from, &Message::Pong { service: &self.service, load }, &[]);
                 if self.absent {
                     self.told_end = true;
-                    out.peer(from, &Message::Ended, &[]);
+                    out.peer(from, &Message::TargetEnded, &[]);
                 }
             }
             _ => {}
@@ -242,14 +244,14 @@
 }
 
 /// Tells a caller that its flow is gone with the target's process.
-fn reset(flow: Flow, ack: u32, out: &mut impl Out) {
+fn reset(flow: Flow, ack: u32, out: &mut impl Transmit) {
     log::info!(event = events::FLOW_RESET, flow:% = flow, reason = "target_ended"; "flow reset");
     metrics::refused(Refusal::TargetEnded);
     out.reset(flow, ack);
 }
 
 /// Passes an open, of which nothing ran, to the other candidate.
-fn pass(open: &Open<'_>, offer: Offer, packet: &[u8], out: &mut impl Out) {
+fn pass(open: &Open<'_>, offer: Offer, packet: &[u8], out: &mut impl Transmit) {
     metrics::retried(Retry::PassedOn);
     out.peer(offer.to(), &Message::Open(Open { offer, ..*open }), packet);
 }
--- a/src/hold/packets.rs
+++ b/src/tracker/packets.rs
@@ -4,36 +4,36 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{Held, Holder, NOBODY, Out, Stage, pass, reset};
+use super::{FlowPhase, FlowTracker, NOBODY, TrackedFlow, Transmit, pass, reset};
 use crate::agent::Step;
 use crate::agent::place::give_back;
-use crate::bus::{FlowStatus, Message, Mode, Note, Open};
 use crate::events;
-use crate::flow::{Arrival, Flow, Segment};
+use crate::flow::{Flow, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal, Retry};
+use crate::protocol::{FlowStatus, FlowUpdate, ForwardMode, Message, Open};
 
-impl Holder {
+impl FlowTracker {
     /// A packet of a flow that some target has open.
     pub(super) fn carry(
         &mut self,
         from: SocketAddrV4,
-        mode: Mode,
-        came: &Arrival<'_>,
-        out: &mut impl Out,
+        mode: ForwardMode,
+        came: &ReceivedPacket<'_>,
+        out: &mut impl Transmit,
     ) {
-        let Arrival { seg, packet, now } = *came;
+        let ReceivedPacket { seg, packet, now } = *came;
         let flow = came.flow();
         let known = self.flows.get(flow, now).map(|h| h.accepts(seg));
         match known {
             Some(true) => {
                 self.note_caller(flow, seg, now);
                 out.target(packet);
-                if mode != Mode::Owner {
+                if mode != ForwardMode::Owner {
                     self.note(flow, FlowStatus::Held, from, now, out);
                 }
             }
             Some(false) => {
-                let tried = self.flows.peek(flow).is_some_and(|h| h.stage == Stage::NotOwner);
+                let tried = self.flows.peek(flow).is_some_and(|h| h.stage == FlowPhase::NotOwner);
                 let status = if tried { FlowStatus::NotOwner } else { FlowStatus::Unknown };
                 self.note(flow, status, from, now, out);
             }
@@ -45,11 +45,11 @@
     pub(super) fn carry_unknown(
         &mut self,
         from: SocketAddrV4,
-        mode: Mode,
-        came: &Arrival<'_>,
-        out: &mut impl Out,
+        mode: ForwardMode,
+        came: &ReceivedPacket<'_>,
+        out: &mut impl Transmit,
     ) {
-        let Arrival { seg, packet, now } = *came;
+        let ReceivedPacket { seg, packet, now } = *came;
         let flow = came.flow();
         if let Some(denial) = self.denial() {
             self.note(flow, denial, from, now, out);
@@ -58,7 +58,8 @@
                 event = events::FLOW_TRIED, flow:% = flow, mode:? = mode;
                 "unknown flow tried at the target"
             );
-            let held = Held { reply: Some(from), ..Held::new(Stage::Trial, seg.seq) };
+            let held =
+                TrackedFlow { reply: Some(from), ..TrackedFlow::new(FlowPhase::Trial, seg.seq) };
             self.flows.insert(flow, held, now);
             out.target(packet);
         }
@@ -70,8 +71,8 @@
         if seg.flags.ack {
             h.caller_ack = seg.ack;
         }
-        if matches!(h.stage, Stage::Answered(_)) {
-            h.stage = Stage::Open;
+        if matches!(h.stage, FlowPhase::Answered(_)) {
+            h.stage = FlowPhase::Open;
         }
         h.caller_done |= seg.flags.fin;
         let over = seg.flags.rst || h.over();
@@ -91,7 +92,7 @@
         seg: &Segment,
         packet: &mut [u8],
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
         clear: impl FnOnce(&mut [u8]),
     ) {
         self.silent_since = None;
@@ -105,20 +106,28 @@
         out.caller(flow.caller, packet);
     }
 
-    pub(super) fn answered(&mut self, flow: Flow, seg: &Segment, now: Instant, out: &mut impl Out) {
+    pub(super) fn answered(
+        &mut self,
+        flow: Flow,
+        seg: &Segment,
+        now: Instant,
+        out: &mut impl Transmit,
+    ) {
         let Some(h) = self.flows.get(flow, now) else {
             // The agent started after the flow opened.
             if !seg.flags.rst {
                 self.inherit();
-                let held = Held { ours: true, ..Held::new(Stage::Open, 0) };
+                let held = TrackedFlow { ours: true, ..TrackedFlow::new(FlowPhase::Open, 0) };
                 self.flows.insert(flow, held, now);
             }
             return;
         };
         let before = h.stage;
         h.stage = match before {
-            Stage::Opening { .. } | Stage::Answered(_) if seg.flags.syn => Stage::Answered(seg.seq),
-            Stage::Trial | Stage::NotOwner => Stage::Open,
+            FlowPhase::Opening { .. } | FlowPhase::Answered(_) if seg.flags.syn => {
+                FlowPhase::Answered(seg.seq)
+            }
+            FlowPhase::Trial | FlowPhase::NotOwner => FlowPhase::Open,
             other => other,
         };
         h.ours = true;
@@ -144,16 +153,16 @@
         seg: &Segment,
         packet: &[u8],
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         let flow = seg.by_caller();
         let Some(h) = self.remove(flow) else { return };
         let reply = h.reply.unwrap_or(NOBODY);
-        let (Stage::Opening { offer, max_flows, aged }, true) = (h.stage, seg.opens()) else {
-            if h.ours && h.stage != Stage::Closed {
+        let (FlowPhase::Opening { offer, max_flows, aged }, true) = (h.stage, seg.opens()) else {
+            if h.ours && h.stage != FlowPhase::Closed {
                 reset(flow, seg.ack, out);
             }
-            self.flows.insert(flow, Held::new(Stage::NotOwner, 0), now);
+            self.flows.insert(flow, TrackedFlow::new(FlowPhase::NotOwner, 0), now);
             self.note(flow, FlowStatus::NotOwner, reply, now, out);
             return;
         };
@@ -177,12 +186,12 @@
         status: FlowStatus,
         to: SocketAddrV4,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         if to == NOBODY {
             return;
         }
         let load = self.load(now);
-        out.peer(to, &Message::Note(Note { flow, status, load }), &[]);
+        out.peer(to, &Message::FlowUpdate(FlowUpdate { flow, status, load }), &[]);
     }
 }
--- a/src/hold/asked.rs
+++ b/src/tracker/queries.rs
@@ -3,19 +3,19 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{Holder, Out, Stage, Target};
-use crate::bus::{Answer, Ask, FlowStatus, Message, Question};
+use super::{FlowPhase, FlowTracker, Target, Transmit};
 use crate::metrics::{self, Refusal};
+use crate::protocol::{Answer, FlowStatus, Message, Query, Question};
 
-impl Holder {
+impl FlowTracker {
     /// Answers a balancer. Nothing changes: the packets come to the agent that
     /// holds their flow.
     pub(super) fn asked(
         &mut self,
         from: SocketAddrV4,
-        ask: &Ask<'_>,
+        ask: &Query<'_>,
         now: Instant,
-        out: &mut impl Out,
+        out: &mut impl Transmit,
     ) {
         if *ask.service != *self.service {
             metrics::refused(Refusal::ForeignOwner);
@@ -28,15 +28,15 @@
             answers.push(Answer { flow: question.flow, status, hint });
         }
         let load = self.load(now);
-        out.peer(from, &Message::Answers { answers, load }, &[]);
+        out.peer(from, &Message::Response { answers, load }, &[]);
     }
 
     fn knows(&mut self, question: &Question, now: Instant) -> FlowStatus {
         if let Some(h) = self.flows.get(question.flow, now) {
             return match h.stage {
-                Stage::Trial => FlowStatus::Unverified,
+                FlowPhase::Trial => FlowStatus::Unverified,
                 _ if h.goes_on(question.ack) => FlowStatus::Held,
-                Stage::NotOwner => FlowStatus::NotOwner,
+                FlowPhase::NotOwner => FlowStatus::NotOwner,
                 _ => FlowStatus::Unknown,
             };
         }
@@ -54,7 +54,7 @@
     pub(super) fn denial(&mut self) -> Option<FlowStatus> {
         if self.absent {
             self.told_end = true;
-            return Some(FlowStatus::Ended);
+            return Some(FlowStatus::TargetEnded);
         }
         self.target.as_ref().is_some_and(Target::complete).then_some(FlowStatus::Unknown)
     }
--- a/src/hold/target.rs
+++ b/src/tracker/target.rs
@@ -33,7 +33,7 @@
 /// before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{id}{}", born.map(|ms| format!("@{ms}")).unwrap_or_default())]
-pub struct Start {
+pub struct Incarnation {
     /// The target's identity.
     pub id: Arc<str>,
     /// When it started, in Unix milliseconds by its VM's time of day; none where
@@ -41,7 +41,7 @@
     pub born: Option<u64>,
 }
 
-impl From<&str> for Start {
+impl From<&str> for Incarnation {
     /// The start of a target that does not say when it started.
     fn from(id: &str) -> Self {
         Self { id: id.into(), born: None }
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Predecessor {
     /// The start of the target for which it is known to have taken flows.
-    pub target: Start,
+    pub target: Incarnation,
     /// When the present process began to take the target's reports.
     pub until: Instant,
 }
@@ -72,7 +72,7 @@
 
 /// Whether a target takes new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum State {
+pub enum TargetState {
     /// It does.
     #[display("ready")]
     Ready,
@@ -85,13 +85,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The start of the target that made it.
-    pub start: Start,
+    pub start: Incarnation,
     /// The service it runs.
     pub service: String,
     /// Requests it works on at once.
     pub slots: u32,
     /// Whether it takes new flows.
-    pub state: State,
+    pub state: TargetState,
     /// How much longer it is slow after its start.
     pub cold: Duration,
     /// Counts the reports of one start.
@@ -100,7 +100,7 @@
 
 /// Why a report is not heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Ignored {
+pub enum IgnoreReason {
     /// It is of another service.
     #[display("report_of_other_service")]
     Service,
@@ -115,12 +115,12 @@
 /// The target as last reported.
 #[derive(Clone, Debug)]
 pub struct Target {
-    start: Start,
-    before: Vec<Start>,
+    start: Incarnation,
+    before: Vec<Incarnation>,
     /// When it last reported.
     heard: Instant,
     slots: u32,
-    state: State,
+    state: TargetState,
     cold_until: Instant,
     seq: u64,
     complete: bool,
@@ -180,23 +180,23 @@
 
     /// Which start of the target it is.
     #[must_use]
-    pub const fn start(&self) -> &Start {
+    pub const fn start(&self) -> &Incarnation {
         &self.start
     }
 
     /// Why a report of `start` is none of this target's or of one that follows
     /// it.
     #[must_use]
-    pub fn ignores(&self, start: &Start, now: Instant) -> Option<Ignored> {
+    pub fn ignores(&self, start: &Incarnation, now: Instant) -> Option<IgnoreReason> {
         let over = self.before.contains(start) || self.ended && self.start == *start;
         if over || self.follows(start, now) {
-            return Some(Ignored::Earlier);
+            return Some(IgnoreReason::Earlier);
         }
-        (self.start.born.is_some() && start.born.is_none()).then_some(Ignored::Unborn)
+        (self.start.born.is_some() && start.born.is_none()).then_some(IgnoreReason::Unborn)
     }
 
     /// Whether `start` came before this one, by the time of day of their VM.
-    fn follows(&self, start: &Start, now: Instant) -> bool {
+    fn follows(&self, start: &Incarnation, now: Instant) -> bool {
         let alive = !self.ended && now.saturating_duration_since(self.heard) < ALIVE;
         alive && start.born.zip(self.start.born).is_some_and(|(theirs, ours)| theirs < ours)
     }
@@ -210,7 +210,7 @@
     /// Whether it takes new flows.
     #[must_use]
     pub fn takes(&self) -> bool {
-        self.state == State::Ready && !self.ended
+        self.state == TargetState::Ready && !self.ended
     }
 
     /// Whether its process is not known to be over.
@@ -226,7 +226,7 @@
 
     /// Its state as last reported.
     #[must_use]
-    pub const fn state(&self) -> State {
+    pub const fn state(&self) -> TargetState {
         self.state
     }
 
--- a/src/hold/held.rs
+++ b/src/tracker/tracked_flow.rs
@@ -8,7 +8,7 @@
 
 /// How far a flow has come at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum FlowPhase {
     /// The caller's open was handed to the target.
     Opening {
         /// The agents it was offered to.
@@ -32,9 +32,9 @@
 
 /// One flow.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct TrackedFlow {
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: FlowPhase,
     /// The first sequence number of the caller.
     pub caller_seq: u32,
     /// The caller's last acknowledgement.
@@ -55,10 +55,10 @@
     pub target_done: bool,
 }
 
-impl Held {
+impl TrackedFlow {
     /// A flow at `stage` whose caller sent `seq`.
     #[must_use]
-    pub const fn new(stage: Stage, seq: u32) -> Self {
+    pub const fn new(stage: FlowPhase, seq: u32) -> Self {
         Self {
             stage,
             caller_seq: seq,
@@ -77,7 +77,10 @@
     #[must_use]
     pub fn opened_by(&self, seg: &Segment) -> bool {
         self.caller_seq == seg.seq
-            && matches!(self.stage, Stage::Opening { .. } | Stage::Answered(_) | Stage::Open)
+            && matches!(
+                self.stage,
+                FlowPhase::Opening { .. } | FlowPhase::Answered(_) | FlowPhase::Open
+            )
     }
 
     /// Whether a caller's later packet belongs to this flow. Two targets may
@@ -93,9 +96,10 @@
     #[must_use]
     pub const fn goes_on(&self, ack: Option<u32>) -> bool {
         match (self.stage, ack) {
-            (Stage::Opening { .. } | Stage::NotOwner, _) => false,
-            (Stage::Answered(seq), Some(ack)) => ack.wrapping_sub(seq) <= FIRST_ACK,
-            (Stage::Answered(_), None) | (Stage::Open | Stage::Trial | Stage::Closed, _) => true,
+            (FlowPhase::Opening { .. } | FlowPhase::NotOwner, _) => false,
+            (FlowPhase::Answered(seq), Some(ack)) => ack.wrapping_sub(seq) <= FIRST_ACK,
+            (FlowPhase::Answered(_), None)
+            | (FlowPhase::Open | FlowPhase::Trial | FlowPhase::Closed, _) => true,
         }
     }
 
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -14,8 +14,8 @@
 
 use super::Report;
 use crate::flow::{Flags, Flow, Segment};
-use crate::hold;
 use crate::platform::{packet, report};
+use crate::tracker;
 
 /// How often a target reports itself.
 const HEARTBEAT: Duration = Duration::from_millis(400);
@@ -127,7 +127,8 @@
     let mut left = LEAVING;
     for seq in 1_u64.. {
         let draining = state.draining.get();
-        let word = if draining { hold::State::Draining } else { hold::State::Ready };
+        let word =
+            if draining { tracker::TargetState::Draining } else { tracker::TargetState::Ready };
         let body = report::body(service, app, word, seq);
         let url = format!("http://{reports}{}{id}", report::HEARTBEAT);
         let call = client.post(url).send_json(&body);
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -19,7 +19,7 @@
 
 /// What a packet from the fabric does to its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum PacketKind {
     /// Asks for a new flow; carries no bytes, like a TCP SYN. `seq` counts
     /// the tries.
     Open,
@@ -41,7 +41,7 @@
     /// The caller-facing port, which names the profile.
     pub port: u16,
     /// What the packet does.
-    pub kind: Kind,
+    pub kind: PacketKind,
     /// Sequence number: the try for `Open`, then 1, 2, ... for data.
     pub seq: u32,
     /// Every answer below this position has reached the caller.
@@ -64,7 +64,7 @@
     /// The other candidate, if the service has a second target.
     pub second: Option<SocketAddrV4>,
     /// How far the offer has come.
-    pub stage: Stage,
+    pub stage: OfferStage,
 }
 
 impl Offer {
@@ -72,8 +72,8 @@
     #[must_use]
     pub fn to(&self) -> SocketAddrV4 {
         match self.stage {
-            Stage::Compare { .. } => self.second.unwrap_or(self.first),
-            Stage::Take | Stage::Ask | Stage::Last => self.first,
+            OfferStage::Compare { .. } => self.second.unwrap_or(self.first),
+            OfferStage::Take | OfferStage::Ask | OfferStage::Last => self.first,
         }
     }
 
@@ -86,7 +86,7 @@
 
 /// How far an offer has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum OfferStage {
     /// The first takes the flow if it may.
     Take,
     /// The first may ask the second to compare loads.
@@ -102,7 +102,7 @@
 
 /// What a reply from an agent tells the fabric.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ReplyKind {
     /// The flow is accepted by the agent named in the reply's owner.
     Accept,
     /// Every packet below `next` has reached the target.
@@ -145,7 +145,7 @@
     /// The agent that sends it.
     pub owner: Owner,
     /// What it says.
-    pub answer: Answer,
+    pub answer: ReplyKind,
 }
 
 /// An agent's identity on a flow: its IPv4 address and port and a nonce.
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use jujubepost::bus::{self, Answer, FlowStatus, Message, Mode};
 use jujubepost::edge::Settings;
-use jujubepost::hold::{Start, State};
 use jujubepost::platform::config;
 use jujubepost::platform::report::{self, Call};
+use jujubepost::protocol::{self, Answer, FlowStatus, ForwardMode, Message};
+use jujubepost::tracker::{Incarnation, TargetState};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -70,13 +70,13 @@
     let call = decode("/v1/Instances.Heartbeat/i-7f3a91c2", body.as_bytes()).unwrap();
     let Some(Call::Heartbeat(r)) = call else { panic!("{call:?}") };
     assert_eq!((&*r.start.id, r.service.as_str(), r.slots, r.seq), ("i-7f3a91c2", "meter", 5, 4));
-    assert_eq!((r.state, r.cold), (State::Draining, Duration::from_millis(700)));
+    assert_eq!((r.state, r.cold), (TargetState::Draining, Duration::from_millis(700)));
     let born = body.replace("\"seq\":4", "\"seq\":4,\"born\":1796265600123");
     let call = decode("/v1/Instances.Heartbeat/i-1", born.as_bytes()).unwrap();
     let Some(Call::Heartbeat(r)) = call else { panic!("{call:?}") };
-    assert_eq!(r.start, Start { id: "i-1".into(), born: Some(1_796_265_600_123) });
+    assert_eq!(r.start, Incarnation { id: "i-1".into(), born: Some(1_796_265_600_123) });
     let gone = decode("/v1/Instances.Deregister/i-1", br#"{"born":7}"#).unwrap();
-    assert_eq!(gone, Some(Call::Gone(Start { id: "i-1".into(), born: Some(7) })));
+    assert_eq!(gone, Some(Call::Gone(Incarnation { id: "i-1".into(), born: Some(7) })));
     let gone = decode("/v1/Instances.Deregister/i-7f3a91c2", b"").unwrap();
     assert_eq!(gone, Some(Call::Gone("i-7f3a91c2".into())));
     assert_eq!(decode("/other", b"").unwrap(), None);
@@ -90,7 +90,7 @@
     for _ in 0..20_000 {
         let mut bytes = vec![0; rng.random_range(0..200)];
         rng.fill(&mut bytes[..]);
-        let _ = bus::decode(&bytes);
+        let _ = protocol::decode(&bytes);
         let _ = config::decode(&bytes);
         let _ = decode("/v1/Instances.Heartbeat/i", &bytes);
     }
@@ -99,21 +99,22 @@
 #[test]
 fn message_round_trip() {
     let mut buf = Vec::new();
-    let message = Message::Carry { service: "meter", mode: Mode::Try };
-    bus::encode(&message, b"packet", &mut buf).unwrap();
-    assert_eq!(bus::decode(&buf).unwrap(), (message, &b"packet"[..]));
+    let message = Message::Forward { service: "meter", mode: ForwardMode::Try };
+    protocol::encode(&message, b"packet", &mut buf).unwrap();
+    assert_eq!(protocol::decode(&buf).unwrap(), (message, &b"packet"[..]));
     let flow = jujubepost::flow::Flow {
         caller: "255.255.255.255:65535".parse().unwrap(),
         service: "255.255.255.254:65534".parse().unwrap(),
     };
     let hint = Some(flow.caller);
-    let answers = vec![Answer { flow, status: FlowStatus::Unverified, hint }; bus::QUESTIONS];
-    let message = Message::Answers { answers, load: u32::MAX };
-    bus::encode(&message, &[], &mut buf).unwrap();
+    let answers =
+        vec![Answer { flow, status: FlowStatus::Unverified, hint }; protocol::MAX_QUESTIONS];
+    let message = Message::Response { answers, load: u32::MAX };
+    protocol::encode(&message, &[], &mut buf).unwrap();
     assert!(buf.len() <= 1_236, "{} bytes: longer than a packet", buf.len());
-    assert_eq!(bus::decode(&buf).unwrap().0, message);
-    let big = vec![0; bus::DATAGRAM];
-    assert!(bus::encode(&Message::Ping { listed: true }, &big, &mut buf).is_err());
+    assert_eq!(protocol::decode(&buf).unwrap().0, message);
+    let big = vec![0; protocol::MAX_DATAGRAM_BYTES];
+    assert!(protocol::encode(&Message::Ping { listed: true }, &big, &mut buf).is_err());
 }
 
 #[test]
--- a/tests/bus_numbers.rs
+++ b/tests/bus_numbers.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::wires::*;
-use jujubepost::bus::{FlowStatus, Message, Note, encode};
 use jujubepost::metrics::Refusal;
+use jujubepost::protocol::{FlowStatus, FlowUpdate, Message, encode};
 
 fn number(message: &Message<'_>) -> u8 {
     let mut buf = Vec::new();
@@ -21,15 +21,15 @@
         FlowStatus::Unverified,
         FlowStatus::Refused(Refusal::Full),
         FlowStatus::NotOwner,
-        FlowStatus::Ended,
+        FlowStatus::TargetEnded,
     ];
     for (n, status) in statuses.into_iter().enumerate() {
         let mut buf = Vec::new();
-        let note = Note { flow: flow(1), status, load: 0 };
-        encode(&Message::Note(note), &[], &mut buf).unwrap();
-        let plain = Note { status: FlowStatus::Held, ..note };
+        let note = FlowUpdate { flow: flow(1), status, load: 0 };
+        encode(&Message::FlowUpdate(note), &[], &mut buf).unwrap();
+        let plain = FlowUpdate { status: FlowStatus::Held, ..note };
         let mut held = Vec::new();
-        encode(&Message::Note(plain), &[], &mut held).unwrap();
+        encode(&Message::FlowUpdate(plain), &[], &mut held).unwrap();
         let at = buf.iter().zip(&held).position(|(a, b)| a != b);
         assert_eq!(at.map_or(0, |at| buf[at]), n as u8, "{status:?}");
     }
@@ -37,14 +37,14 @@
 
 #[test]
 fn messages_keep_numbers() {
-    let note = Note { flow: flow(1), status: FlowStatus::Held, load: 0 };
+    let note = FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
     let numbers = [
-        Message::Note(note),
-        Message::Answers { answers: Vec::new(), load: 0 },
+        Message::FlowUpdate(note),
+        Message::Response { answers: Vec::new(), load: 0 },
         Message::Hint { flow: flow(1), agent: agent(1) },
         Message::Ping { listed: true },
         Message::Pong { service: SERVICE, load: 0 },
-        Message::Ended,
+        Message::TargetEnded,
     ];
     assert_eq!(numbers.map(|m| number(&m)), [2, 4, 5, 6, 7, 8]);
 }
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -7,19 +7,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use jujubepost::bus::{Answer, Ask, FlowStatus, Message, Mode, Note, Open, Question};
 use jujubepost::flow::{Flags, Flow, Segment};
-use jujubepost::hold::{self, Holder, Report, State};
 use jujubepost::policy::Steering;
+use jujubepost::protocol::{
+    Answer, FlowStatus, FlowUpdate, ForwardMode, Message, Open, Query, Question,
+};
 use jujubepost::steer::{self, Announced, Route, Routes, Share, Steer};
+use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
 use jujubepost::wire::Offer;
 
 /// A message as it was sent, owned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sent {
     Open { service: String, max_flows: u32, aged: bool, offer: Offer, reply: SocketAddrV4 },
-    Carry { service: String, mode: Mode },
-    Note(Note),
+    Carry { service: String, mode: ForwardMode },
+    Note(FlowUpdate),
     Ask { flows: Vec<Flow> },
     Answers { answers: Vec<Answer> },
     Hint { flow: Flow, agent: SocketAddrV4 },
@@ -38,16 +40,16 @@
                 offer: o.offer,
                 reply: o.reply,
             },
-            Message::Carry { service, mode } => Self::Carry { service: service.into(), mode },
-            Message::Note(n) => Self::Note(n),
-            Message::Ask(ref ask) => {
+            Message::Forward { service, mode } => Self::Carry { service: service.into(), mode },
+            Message::FlowUpdate(n) => Self::Note(n),
+            Message::Query(ref ask) => {
                 Self::Ask { flows: ask.questions.iter().map(|q| q.flow).collect() }
             }
-            Message::Answers { ref answers, .. } => Self::Answers { answers: answers.clone() },
+            Message::Response { ref answers, .. } => Self::Answers { answers: answers.clone() },
             Message::Hint { flow, agent } => Self::Hint { flow, agent },
             Message::Ping { listed } => Self::Ping { listed },
             Message::Pong { load, .. } => Self::Pong { load },
-            Message::Ended => Self::Ended,
+            Message::TargetEnded => Self::Ended,
         }
     }
 
@@ -60,17 +62,17 @@
                 offer: *offer,
                 reply: *reply,
             }),
-            Self::Carry { service, mode } => Message::Carry { service, mode: *mode },
-            Self::Note(n) => Message::Note(*n),
+            Self::Carry { service, mode } => Message::Forward { service, mode: *mode },
+            Self::Note(n) => Message::FlowUpdate(*n),
             Self::Ask { flows } => {
                 let questions = flows.iter().map(|f| Question { flow: *f, ack: None }).collect();
-                Message::Ask(Ask { service: SERVICE, questions })
+                Message::Query(Query { service: SERVICE, questions })
             }
-            Self::Answers { answers } => Message::Answers { answers: answers.clone(), load: 0 },
+            Self::Answers { answers } => Message::Response { answers: answers.clone(), load: 0 },
             Self::Hint { flow, agent } => Message::Hint { flow: *flow, agent: *agent },
             Self::Ping { listed } => Message::Ping { listed: *listed },
             Self::Pong { load } => Message::Pong { service: SERVICE, load: *load },
-            Self::Ended => Message::Ended,
+            Self::Ended => Message::TargetEnded,
         }
     }
 }
@@ -121,7 +123,7 @@
     }
 
     /// To whom packets went in `mode`.
-    pub fn carried(&self, mode: Mode) -> Vec<SocketAddrV4> {
+    pub fn carried(&self, mode: ForwardMode) -> Vec<SocketAddrV4> {
         let of = |m: &Sent| matches!(m, Sent::Carry { mode: x, .. } if *x == mode);
         self.peers.iter().filter(|(_, m, _)| of(m)).map(|(to, _, _)| *to).collect()
     }
@@ -137,7 +139,7 @@
     }
 }
 
-impl hold::Out for Wires {
+impl tracker::Transmit for Wires {
     fn target(&mut self, packet: &[u8]) {
         self.target.push(packet.to_vec());
     }
@@ -207,7 +209,7 @@
     Segment { flags: Flags { bounced: true, ..seg.flags }, ..seg }
 }
 
-pub fn report(id: &str, seq: u64, state: State) -> Report {
+pub fn report(id: &str, seq: u64, state: TargetState) -> Report {
     Report { start: id.into(), service: SERVICE.into(), slots: 5, state, cold: Duration::ZERO, seq }
 }
 
@@ -223,9 +225,9 @@
 }
 
 /// An agent whose target it saw start.
-pub fn holder(now: Instant) -> Holder {
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    assert!(h.report(report("i-1", 1, State::Ready), now));
+pub fn holder(now: Instant) -> FlowTracker {
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    assert!(h.report(report("i-1", 1, TargetState::Ready), now));
     h
 }
 
@@ -247,19 +249,19 @@
 
 /// The message of an open offered to `first` alone.
 pub fn open(first: SocketAddrV4, aged: bool) -> Open<'static> {
-    let offer = Offer { first, second: None, stage: jujubepost::wire::Stage::Take };
+    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Take };
     Open { service: SERVICE, max_flows: 2_000, aged, offer, reply: balancer() }
 }
 
 /// Has `h` open flow `port`, its target answering with `seq`.
-pub fn opened(h: &mut Holder, port: u16, seq: u32, now: Instant) -> Wires {
+pub fn opened(h: &mut FlowTracker, port: u16, seq: u32, now: Instant) -> Wires {
     let mut w = Wires::default();
     let m = Message::Open(open(agent(1), false));
     h.message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
     h.target_packet(&syn_ack(port, seq), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
     h.message(
         balancer(),
-        &Message::Carry { service: SERVICE, mode: Mode::Owner },
+        &Message::Forward { service: SERVICE, mode: ForwardMode::Owner },
         Some(&data(port, 1_001, seq + 1, 0)),
         b"ack",
         now,
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -8,13 +8,13 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::bus;
 use jujubepost::edge::{AGENTS, Reader};
-use jujubepost::hold::{Holder, State};
 use jujubepost::platform::report::{self, Call};
 use jujubepost::platform::{config, packet};
+use jujubepost::protocol;
 use jujubepost::relay::{self, parts};
 use jujubepost::store::{Kv, Snapshot};
+use jujubepost::tracker::{FlowTracker, TargetState};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -92,14 +92,14 @@
     #[test]
     fn report_dropped(r in spoilt()) {
         let now = Instant::now();
-        let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+        let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         let body = |state: &str, seq: u64| {
             let mut r = good();
             r["state"] = state.into();
             r["seq"] = seq.into();
             serde_json::to_vec(&r).unwrap()
         };
-        let hear = |h: &mut Holder, body: &[u8]| {
+        let hear = |h: &mut FlowTracker, body: &[u8]| {
             if let Ok(Some(Call::Heartbeat(r))) = decode(body) {
                 h.report(r, now);
             }
@@ -107,7 +107,7 @@
         hear(&mut h, &body("ready", 3));
         hear(&mut h, &serde_json::to_vec(&r).unwrap());
         let state = h.target().unwrap().state();
-        prop_assert!(whole(&r) || state == State::Ready, "taken: {r}");
+        prop_assert!(whole(&r) || state == TargetState::Ready, "taken: {r}");
     }
 
     /// One entry that cannot be read, or is another writer's, hides no other.
@@ -138,7 +138,7 @@
     /// No bytes end a process.
     #[test]
     fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = bus::decode(&bytes);
+        let _ = protocol::decode(&bytes);
         let _ = packet::decode(&bytes);
         let _ = config::decode(&bytes);
         let _ = parts::decode(&bytes);
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -5,28 +5,28 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::bus::{Ask, FlowStatus, Message, Open, Question};
-use jujubepost::hold::{Holder, State};
-use jujubepost::wire::{Offer, Stage};
+use jujubepost::protocol::{FlowStatus, Message, Open, Query, Question};
+use jujubepost::tracker::{FlowTracker, TargetState};
+use jujubepost::wire::{Offer, OfferStage};
 
-fn tell(h: &mut Holder, message: &Message<'_>, now: Instant) -> Wires {
+fn tell(h: &mut FlowTracker, message: &Message<'_>, now: Instant) -> Wires {
     let mut w = Wires::default();
     h.message(balancer(), message, None, &[], now, &mut w);
     w
 }
 
 /// Has `h` open flow `port`, offered to agents 1 and 2.
-fn opened_of_two(h: &mut Holder, port: u16, now: Instant) {
+fn opened_of_two(h: &mut FlowTracker, port: u16, now: Instant) {
     let mut w = Wires::default();
-    let offer = Offer { first: agent(1), second: Some(agent(2)), stage: Stage::Last };
+    let offer = Offer { first: agent(1), second: Some(agent(2)), stage: OfferStage::Last };
     let m = Message::Open(Open { offer, ..open(agent(1), false) });
     h.message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
     h.target_packet(&syn_ack(port, 5_000), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
-    let m = Message::Carry { service: SERVICE, mode: jujubepost::bus::Mode::Owner };
+    let m = Message::Forward { service: SERVICE, mode: jujubepost::protocol::ForwardMode::Owner };
     h.message(balancer(), &m, Some(&data(port, 1_001, 5_001, 0)), b"ack", now, &mut w);
 }
 
-fn handed(h: &Holder) -> Vec<(std::net::SocketAddrV4, Sent)> {
+fn handed(h: &FlowTracker) -> Vec<(std::net::SocketAddrV4, Sent)> {
     let mut w = Wires::default();
     h.hand_over(agent(1), &mut w);
     w.peers.into_iter().map(|(to, m, _)| (to, m)).collect()
@@ -52,20 +52,20 @@
     let now = Instant::now();
     let mut h = holder(now);
     opened_of_two(&mut h, 1, now);
-    let mut other = Holder::new(SERVICE.into(), Duration::from_secs(60));
+    let mut other = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     for (_, m) in handed(&h) {
         tell(&mut other, &m.message(), now);
     }
     let mut w = Wires::default();
     other.hand_over(agent(2), &mut w);
-    let mut next = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    next.report(report("i-1", 7, State::Ready), now);
+    let mut next = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    next.report(report("i-1", 7, TargetState::Ready), now);
     for (to, m, _) in &w.peers {
         assert_eq!(*to, agent(1));
         tell(&mut next, &m.message(), now);
     }
     let question = Question { flow: flow(1), ack: Some(5_001) };
-    let ask = Message::Ask(Ask { service: SERVICE, questions: vec![question] });
+    let ask = Message::Query(Query { service: SERVICE, questions: vec![question] });
     let answers = tell(&mut next, &ask, now).answers();
     assert_eq!((answers[0].status, answers[0].hint), (FlowStatus::Unverified, Some(agent(1))));
     // It is not told to itself again, and an ended target's flows to nobody.
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -7,29 +7,29 @@
 
 use common::wires::*;
 use jujubepost::agent::place::UNABLE;
-use jujubepost::bus::{Ask, FlowStatus, Message, Mode, Question};
-use jujubepost::hold::{Holder, Report, Start, State};
 use jujubepost::metrics::Refusal;
+use jujubepost::protocol::{FlowStatus, ForwardMode, Message, Query, Question};
+use jujubepost::tracker::{FlowTracker, Incarnation, Report, TargetState};
 
 const MS: Duration = Duration::from_millis(1);
 
-fn carry(h: &mut Holder, mode: Mode, port: u16, ack: u32, now: Instant) -> Wires {
+fn carry(h: &mut FlowTracker, mode: ForwardMode, port: u16, ack: u32, now: Instant) -> Wires {
     let mut w = Wires::default();
-    let m = Message::Carry { service: SERVICE, mode };
+    let m = Message::Forward { service: SERVICE, mode };
     h.message(balancer(), &m, Some(&data(port, 1_001, ack, 100)), b"data", now, &mut w);
     w
 }
 
 /// Asks for flow `port`, whose caller acknowledged `ack`.
-fn asked(h: &mut Holder, port: u16, ack: u32, now: Instant) -> Wires {
+fn asked(h: &mut FlowTracker, port: u16, ack: u32, now: Instant) -> Wires {
     let mut w = Wires::default();
     let question = Question { flow: flow(port), ack: Some(ack) };
-    let m = Message::Ask(Ask { service: SERVICE, questions: vec![question] });
+    let m = Message::Query(Query { service: SERVICE, questions: vec![question] });
     h.message(balancer(), &m, None, &[], now, &mut w);
     w
 }
 
-fn offer(h: &mut Holder, port: u16, aged: bool, now: Instant) -> Wires {
+fn offer(h: &mut FlowTracker, port: u16, aged: bool, now: Instant) -> Wires {
     let mut w = Wires::default();
     let m = Message::Open(open(agent(1), aged));
     h.message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
@@ -37,8 +37,8 @@
 }
 
 /// A report of target `i-1` that was born at `ms`.
-fn born_at(ms: u64, seq: u64, state: State) -> Report {
-    Report { start: Start { id: "i-1".into(), born: Some(ms) }, ..report("i-1", seq, state) }
+fn born_at(ms: u64, seq: u64, state: TargetState) -> Report {
+    Report { start: Incarnation { id: "i-1".into(), born: Some(ms) }, ..report("i-1", seq, state) }
 }
 
 #[test]
@@ -57,12 +57,13 @@
     let now = Instant::now();
     let mut h = holder(now);
     let mut w = Wires::default();
-    let m = Message::Open(jujubepost::bus::Open { service: "fieldlog", ..open(agent(1), false) });
+    let m =
+        Message::Open(jujubepost::protocol::Open { service: "fieldlog", ..open(agent(1), false) });
     h.message(balancer(), &m, Some(&syn(1)), b"syn", now, &mut w);
     assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
-    let m = Message::Carry { service: "fieldlog", mode: Mode::Try };
+    let m = Message::Forward { service: "fieldlog", mode: ForwardMode::Try };
     h.message(balancer(), &m, Some(&data(1, 1, 1, 1)), b"data", now, &mut w);
-    let m = Message::Ask(Ask { service: "fieldlog", questions: Vec::new() });
+    let m = Message::Query(Query { service: "fieldlog", questions: Vec::new() });
     h.message(balancer(), &m, None, &[], now, &mut w);
     assert!(w.answers().is_empty(), "nor does the agent answer for it");
     assert!(w.target.is_empty(), "nothing of another service reaches the target");
@@ -71,10 +72,10 @@
 #[test]
 fn silent_before_report() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     assert_eq!(offer(&mut h, 1, false, now).statuses(), [FlowStatus::Refused(Refusal::NoTarget)]);
     // Flows that were open before the agent started pass at once.
-    assert_eq!(carry(&mut h, Mode::Owner, 2, 9, now).target.len(), 1);
+    assert_eq!(carry(&mut h, ForwardMode::Owner, 2, 9, now).target.len(), 1);
 }
 
 #[test]
@@ -82,11 +83,11 @@
     let now = Instant::now();
     let mut h = holder(now);
     opened(&mut h, 1, 5_000, now);
-    assert!(h.report(report("i-1", 2, State::Draining), now));
+    assert!(h.report(report("i-1", 2, TargetState::Draining), now));
     assert_eq!(offer(&mut h, 2, false, now).statuses(), [FlowStatus::Refused(Refusal::Draining)]);
-    assert_eq!(carry(&mut h, Mode::Owner, 1, 5_001, now).target.len(), 1, "open flows stay");
+    assert_eq!(carry(&mut h, ForwardMode::Owner, 1, 5_001, now).target.len(), 1, "open flows stay");
     // A report that was overtaken does not bring it back.
-    assert!(!h.report(report("i-1", 1, State::Ready), now));
+    assert!(!h.report(report("i-1", 1, TargetState::Ready), now));
     assert_eq!(offer(&mut h, 3, false, now).statuses(), [FlowStatus::Refused(Refusal::Draining)]);
 }
 
@@ -94,8 +95,8 @@
 fn late_report_ignored() {
     let now = Instant::now();
     let mut h = holder(now);
-    assert!(h.report(report("i-2", 1, State::Ready), now));
-    assert!(!h.report(report("i-1", 99, State::Draining), now), "of an earlier start");
+    assert!(h.report(report("i-2", 1, TargetState::Ready), now));
+    assert!(!h.report(report("i-1", 99, TargetState::Draining), now), "of an earlier start");
     assert!(offer(&mut h, 1, false, now).statuses().is_empty());
     assert!(!h.gone(&"i-1".into(), now));
 }
@@ -105,13 +106,19 @@
 #[test]
 fn reborn_heard() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    assert!(h.report(born_at(1_000, 50, State::Draining), now));
-    assert!(h.report(born_at(2_000, 1, State::Ready), now + MS), "a lower number, a later start");
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    assert!(h.report(born_at(1_000, 50, TargetState::Draining), now));
+    assert!(
+        h.report(born_at(2_000, 1, TargetState::Ready), now + MS),
+        "a lower number, a later start"
+    );
     assert!(offer(&mut h, 1, false, now + MS).statuses().is_empty(), "it takes flows");
-    assert!(!h.report(born_at(1_000, 51, State::Draining), now + 2 * MS));
-    assert!(!h.report(born_at(500, 9, State::Draining), now + 2 * MS), "never heard of before");
-    assert!(!h.report(report("i-1", 9, State::Draining), now + 2 * MS), "names no start");
+    assert!(!h.report(born_at(1_000, 51, TargetState::Draining), now + 2 * MS));
+    assert!(
+        !h.report(born_at(500, 9, TargetState::Draining), now + 2 * MS),
+        "never heard of before"
+    );
+    assert!(!h.report(report("i-1", 9, TargetState::Draining), now + 2 * MS), "names no start");
     assert!(offer(&mut h, 2, false, now + 3 * MS).statuses().is_empty());
     assert_eq!(h.target().unwrap().start().born, Some(2_000));
 }
@@ -121,14 +128,14 @@
 #[test]
 fn clock_stepped_back() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    assert!(h.report(born_at(9_000, 4, State::Ready), now));
-    assert!(!h.report(born_at(7_000, 1, State::Ready), now + 1_000 * MS));
-    assert!(h.report(born_at(7_000, 3, State::Ready), now + 2_500 * MS));
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    assert!(h.report(born_at(9_000, 4, State::Ready), now));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    assert!(h.report(born_at(9_000, 4, TargetState::Ready), now));
+    assert!(!h.report(born_at(7_000, 1, TargetState::Ready), now + 1_000 * MS));
+    assert!(h.report(born_at(7_000, 3, TargetState::Ready), now + 2_500 * MS));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    assert!(h.report(born_at(9_000, 4, TargetState::Ready), now));
     h.crashed(&mut Wires::default());
-    assert!(h.report(born_at(7_000, 1, State::Ready), now + MS));
+    assert!(h.report(born_at(7_000, 1, TargetState::Ready), now + MS));
 }
 
 /// A late goodbye of an earlier start under the same identity ends nothing by
@@ -136,18 +143,18 @@
 #[test]
 fn late_goodbye() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    h.report(born_at(2_000, 1, State::Ready), now);
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    h.report(born_at(2_000, 1, TargetState::Ready), now);
     opened(&mut h, 1, 5_000, now);
     let mut w = Wires::default();
-    assert!(!h.gone(&Start { id: "i-1".into(), born: Some(1_000) }, now));
+    assert!(!h.gone(&Incarnation { id: "i-1".into(), born: Some(1_000) }, now));
     assert!(!h.should_probe(now + 5_000 * MS));
     assert!(!h.gone(&"i-1".into(), now));
     h.tick(now + 600 * MS, &mut w);
     assert!(w.resets.is_empty() && h.should_probe(now + 600 * MS));
     h.slow(now + 600 * MS);
-    assert_eq!(carry(&mut h, Mode::Owner, 1, 5_001, now + 700 * MS).target.len(), 1);
-    assert!(h.gone(&Start { id: "i-1".into(), born: Some(2_000) }, now + 800 * MS));
+    assert_eq!(carry(&mut h, ForwardMode::Owner, 1, 5_001, now + 700 * MS).target.len(), 1);
+    assert!(h.gone(&Incarnation { id: "i-1".into(), born: Some(2_000) }, now + 800 * MS));
     h.tick(now + 1_400 * MS, &mut w);
     assert_eq!(w.resets.len(), 1, "its own goodbye ends it");
 }
@@ -162,10 +169,10 @@
     // The target crashes and starts again; its new start opens flow 2.
     opened(&mut h, 2, 7_000, now + 600 * MS);
     let later = now + 700 * MS;
-    assert!(h.report(report("i-2", 1, State::Ready), later));
-    let w = carry(&mut h, Mode::Owner, 2, 7_001, later);
+    assert!(h.report(report("i-2", 1, TargetState::Ready), later));
+    let w = carry(&mut h, ForwardMode::Owner, 2, 7_001, later);
     assert_eq!((w.target.len(), w.resets.len()), (1, 0));
-    let mut w = carry(&mut h, Mode::Owner, 1, 5_001, later);
+    let mut w = carry(&mut h, ForwardMode::Owner, 1, 5_001, later);
     assert_eq!((w.target.len(), w.resets.len()), (1, 0));
     let back = bounced(data(1, 1_001, 5_001, 100));
     h.target_packet(&back, &mut b"data".to_vec(), later, &mut w, |_| {});
@@ -186,10 +193,10 @@
     let w = offer(&mut h, 3, false, now + 80 * MS);
     assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::Draining)]);
     assert!(
-        !h.report(report("i-1", 9, State::Ready), now),
+        !h.report(report("i-1", 9, TargetState::Ready), now),
         "a late report of the start that ended"
     );
-    assert!(h.report(report("i-2", 1, State::Ready), now + 500 * MS));
+    assert!(h.report(report("i-2", 1, TargetState::Ready), now + 500 * MS));
     assert!(offer(&mut h, 4, false, now + 500 * MS).statuses().is_empty());
 }
 
@@ -206,9 +213,9 @@
         (30, Some("i-0"), FlowStatus::Unverified),
     ];
     for (seq, served, status) in cases {
-        let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+        let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         h.follows(served.map(Into::into), now);
-        h.report(report("i-1", seq, State::Ready), now);
+        h.report(report("i-1", seq, TargetState::Ready), now);
         let w = asked(&mut h, 1, 5_001, now);
         assert_eq!(w.statuses(), [status], "seq {seq}, served {served:?}");
         assert!(w.target.is_empty(), "asked only");
@@ -223,9 +230,9 @@
 fn unwritten_start() {
     let now = Instant::now();
     for (heard, status) in [(100 * MS, FlowStatus::Unknown), (350 * MS, FlowStatus::Unverified)] {
-        let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+        let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         h.follows(Some("i-0".into()), now);
-        h.report(report("i-1", 2, State::Ready), now + heard);
+        h.report(report("i-1", 2, TargetState::Ready), now + heard);
         let w = asked(&mut h, 1, 5_001, now + heard);
         assert_eq!(w.statuses(), [status], "heard after {heard:?}");
     }
@@ -239,16 +246,16 @@
 fn inherited_flows() {
     let now = Instant::now();
     for before in [true, false] {
-        let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+        let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         h.follows(Some("i-0".into()), now);
-        let send = |h: &mut Holder| {
+        let send = |h: &mut FlowTracker| {
             let mut w = Wires::default();
             h.target_packet(&answer(7, 5_001, 9), &mut b"old".to_vec(), now, &mut w, |_| {});
         };
         if before {
             send(&mut h);
         }
-        h.report(report("i-1", 3, State::Ready), now + 100 * MS);
+        h.report(report("i-1", 3, TargetState::Ready), now + 100 * MS);
         if !before {
             assert_eq!(asked(&mut h, 1, 5_001, now + 100 * MS).statuses(), [FlowStatus::Unknown]);
             send(&mut h);
@@ -266,9 +273,9 @@
 #[test]
 fn newcomer_waits() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     h.mark_new();
-    h.report(report("i-1", 1, State::Ready), now);
+    h.report(report("i-1", 1, TargetState::Ready), now);
     for at in [now, now + 490 * MS] {
         assert_eq!(
             offer(&mut h, 1, false, at).statuses(),
@@ -276,21 +283,21 @@
         );
     }
     // Its target's later reports do not begin the wait again.
-    h.report(report("i-1", 2, State::Ready), now + 450 * MS);
+    h.report(report("i-1", 2, TargetState::Ready), now + 450 * MS);
     assert_eq!(offer(&mut h, 2, false, now + 510 * MS).target, [b"syn".to_vec()]);
     // One that is listed from before takes flows at once.
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     h.follows(Some("i-0".into()), now);
-    h.report(report("i-1", 1, State::Ready), now);
+    h.report(report("i-1", 1, TargetState::Ready), now);
     assert_eq!(offer(&mut h, 1, false, now).target, [b"syn".to_vec()]);
 }
 
 #[test]
 fn trial_once() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    h.report(report("i-1", 30, State::Ready), now);
-    let mut w = carry(&mut h, Mode::Try, 1, 5_001, now);
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    h.report(report("i-1", 30, TargetState::Ready), now);
+    let mut w = carry(&mut h, ForwardMode::Try, 1, 5_001, now);
     assert_eq!(w.target.len(), 1);
     let back = bounced(data(1, 1_001, 5_001, 100));
     h.target_packet(&back, &mut b"data".to_vec(), now, &mut w, |_| {});
@@ -298,7 +305,7 @@
     let w = asked(&mut h, 1, 5_001, now);
     assert_eq!((w.statuses(), w.target.len()), (vec![FlowStatus::NotOwner], 0), "tried once");
     // One that the target answers is its own.
-    carry(&mut h, Mode::Try, 2, 5_001, now);
+    carry(&mut h, ForwardMode::Try, 2, 5_001, now);
     let mut w = Wires::default();
     h.target_packet(&answer(2, 5_001, 100), &mut b"answer".to_vec(), now, &mut w, |_| {});
     assert_eq!((w.statuses(), w.callers.len()), (vec![FlowStatus::Held], 1));
@@ -357,15 +364,15 @@
     assert_eq!(h.waiting(), 0, "given up by its caller");
 
     opened(&mut h, 2, 6_000, now);
-    carry(&mut h, Mode::Owner, 2, 6_001, now);
+    carry(&mut h, ForwardMode::Owner, 2, 6_001, now);
     assert_eq!(h.waiting(), 1);
     h.target_packet(&answer(2, 6_001, 10), &mut b"answer".to_vec(), now, &mut w, |_| {});
     assert_eq!(h.waiting(), 0);
-    carry(&mut h, Mode::Owner, 2, 6_001, now);
+    carry(&mut h, ForwardMode::Owner, 2, 6_001, now);
     assert_eq!(h.waiting(), 0, "a copy of the request");
 
     opened(&mut h, 3, 7_000, now);
-    carry(&mut h, Mode::Owner, 3, 7_001, now);
+    carry(&mut h, ForwardMode::Owner, 3, 7_001, now);
     assert_eq!(h.waiting(), 1);
     h.tick(now + 2_100 * MS, &mut w);
     assert_eq!(h.waiting(), 0, "the answer was not seen");
@@ -376,7 +383,7 @@
     let now = Instant::now();
     let mut h = holder(now);
     opened(&mut h, 1, 5_000, now);
-    carry(&mut h, Mode::Owner, 1, 5_001, now);
+    carry(&mut h, ForwardMode::Owner, 1, 5_001, now);
     h.stop();
     assert!(!h.idle(), "its target works");
     assert_eq!(offer(&mut h, 2, false, now).statuses(), [FlowStatus::Refused(Refusal::Draining)]);
@@ -405,17 +412,17 @@
 #[test]
 fn no_target_denies() {
     let now = Instant::now();
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     assert_eq!(asked(&mut h, 1, 5_001, now).statuses(), [FlowStatus::Unverified]);
     assert!(h.should_probe(now), "its port is to be tried");
     h.crashed(&mut Wires::default());
     assert!(!h.should_probe(now));
-    assert_eq!(asked(&mut h, 1, 5_001, now).statuses(), [FlowStatus::Ended]);
+    assert_eq!(asked(&mut h, 1, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
     // A target whose flows were not all known, and which has ended.
-    assert!(h.report(report("i-1", 30, State::Ready), now));
+    assert!(h.report(report("i-1", 30, TargetState::Ready), now));
     assert_eq!(asked(&mut h, 2, 5_001, now).statuses(), [FlowStatus::Unverified]);
     h.crashed(&mut Wires::default());
-    assert_eq!(asked(&mut h, 2, 5_001, now).statuses(), [FlowStatus::Ended]);
+    assert_eq!(asked(&mut h, 2, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
 }
 
 /// A balancer that no longer sees the agent in the store asks once more before its
@@ -424,7 +431,7 @@
 fn end_told_when_asked() {
     let now = Instant::now();
     let mut h = holder(now);
-    let ping = |h: &mut Holder| {
+    let ping = |h: &mut FlowTracker| {
         let mut w = Wires::default();
         h.message(balancer(), &Message::Ping { listed: false }, None, &[], now, &mut w);
         w.peers.into_iter().map(|(_, m, _)| m).collect::<Vec<_>>()
@@ -444,9 +451,9 @@
         let mut h = holder(now);
         h.crashed(&mut Wires::default());
         if told {
-            assert_eq!(asked(&mut h, 1, 5_001, now).statuses(), [FlowStatus::Ended]);
+            assert_eq!(asked(&mut h, 1, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
         }
-        assert!(h.report(report("i-2", 1, State::Ready), now + 100 * MS));
+        assert!(h.report(report("i-2", 1, TargetState::Ready), now + 100 * MS));
         let early = offer(&mut h, 2, false, now + 500 * MS);
         let wait = [FlowStatus::Refused(Refusal::NoTarget)];
         assert_eq!(early.statuses(), if told { &wait[..] } else { &[] }, "told {told}");
@@ -462,7 +469,7 @@
     let now = Instant::now();
     let mut h = holder(now);
     opened(&mut h, 1, 5_000, now);
-    carry(&mut h, Mode::Owner, 1, 5_001, now);
+    carry(&mut h, ForwardMode::Owner, 1, 5_001, now);
     let mut w = Wires::default();
     let end = now + 1_900 * MS;
     let fin = |seg: jujubepost::flow::Segment| jujubepost::flow::Segment {
@@ -470,7 +477,7 @@
         ..seg
     };
     h.target_packet(&fin(answer(1, 5_001, 10)), &mut b"answer".to_vec(), end, &mut w, |_| {});
-    let m = Message::Carry { service: SERVICE, mode: Mode::Owner };
+    let m = Message::Forward { service: SERVICE, mode: ForwardMode::Owner };
     let last = fin(data(1, 1_101, 5_012, 0));
     h.message(balancer(), &m, Some(&last), b"fin", end, &mut w);
     for ms in [150, 1_000, 3_000] {
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -10,7 +10,7 @@
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
 use jujubepost::store::{Keys, Kv};
-use jujubepost::wire::{Kind, Offer, Owner, Packet, Stage};
+use jujubepost::wire::{Offer, OfferStage, Owner, Packet, PacketKind};
 
 fn kv(key: String, value: Vec<u8>) -> (Arc<str>, Kv) {
     let key: Arc<str> = key.into();
@@ -49,7 +49,7 @@
     View::build(&keys, &copy)
 }
 
-fn packet(port: u16, kind: Kind, owner: Owner) -> Packet {
+fn packet(port: u16, kind: PacketKind, owner: Owner) -> Packet {
     Packet {
         flow: 7,
         port,
@@ -66,15 +66,15 @@
 /// An offer to the one agent at this port and to nobody else.
 fn only(port: u16) -> Offer {
     let first = SocketAddrV4::new([127, 0, 0, 1].into(), port);
-    Offer { first, second: None, stage: Stage::Take }
+    Offer { first, second: None, stage: OfferStage::Take }
 }
 
 #[test]
 fn open_goes_to_service() {
     let v = view();
-    let to = decide(&v, &packet(9020, Kind::Open, Owner::NONE));
+    let to = decide(&v, &packet(9020, PacketKind::Open, Owner::NONE));
     assert_eq!(to, Decision::Place(only(9200)));
-    let to = decide(&v, &packet(9021, Kind::Open, Owner::NONE));
+    let to = decide(&v, &packet(9021, PacketKind::Open, Owner::NONE));
     assert_eq!(to, Decision::Place(only(9201)));
 }
 
@@ -82,12 +82,15 @@
 fn foreign_owner_dropped() {
     let v = view();
     let fieldlog = Owner::new(SocketAddrV4::new([127, 0, 0, 1].into(), 9201), 5);
-    let to = decide(&v, &packet(9020, Kind::Data, fieldlog));
+    let to = decide(&v, &packet(9020, PacketKind::Data, fieldlog));
     assert_eq!(to, Decision::Drop(Refusal::ForeignOwner));
 }
 
 #[test]
 fn unknown_port_dropped() {
     let v = view();
-    assert_eq!(decide(&v, &packet(1, Kind::Open, Owner::NONE)), Decision::Drop(Refusal::NoProfile));
+    assert_eq!(
+        decide(&v, &packet(1, PacketKind::Open, Owner::NONE)),
+        Decision::Drop(Refusal::NoProfile)
+    );
 }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -7,7 +7,7 @@
 use jujubepost::agent::place::{Step, UNABLE, give_back, load, place};
 use jujubepost::agent::{Admit, admit};
 use jujubepost::metrics::Refusal;
-use jujubepost::wire::{Offer, Stage};
+use jujubepost::wire::{Offer, OfferStage};
 
 /// What one agent knows of itself.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     })
 }
 
-fn play(first: Side, second: Option<Side>, stage: Stage) -> Course {
+fn play(first: Side, second: Option<Side>, stage: OfferStage) -> Course {
     let mut offer = Offer { first: addr(1), second: second.map(|_| addr(2)), stage };
     for _ in 0..4 {
         let at_first = offer.to() == addr(1);
@@ -66,7 +66,7 @@
 
 #[test]
 fn taken_if_any_can() {
-    for stage in [Stage::Take, Stage::Ask] {
+    for stage in [OfferStage::Take, OfferStage::Ask] {
         for (a, b) in sides().flat_map(|a| sides().map(move |b| (a, b))) {
             let got = play(a, Some(b), stage);
             let want_refused = !able(a) && !able(b);
@@ -84,15 +84,15 @@
 #[test]
 fn less_loaded_takes() {
     let side = |load| Side { admits: true, load, reachable: true };
-    assert_eq!(play(side(200), Some(side(0)), Stage::Ask), Course::Second);
-    assert_eq!(play(side(1_000), Some(side(800)), Stage::Ask), Course::Second);
-    assert_eq!(play(side(800), Some(side(1_000)), Stage::Ask), Course::First);
+    assert_eq!(play(side(200), Some(side(0)), OfferStage::Ask), Course::Second);
+    assert_eq!(play(side(1_000), Some(side(800)), OfferStage::Ask), Course::Second);
+    assert_eq!(play(side(800), Some(side(1_000)), OfferStage::Ask), Course::First);
     // Within the margin of a sixteenth and an eighth of a slot, the hash decides.
-    assert_eq!(play(side(1), Some(side(0)), Stage::Ask), Course::First);
-    assert_eq!(play(side(128), Some(side(0)), Stage::Ask), Course::First);
-    assert_eq!(play(side(900), Some(side(850)), Stage::Ask), Course::First);
-    assert_eq!(play(side(2), Some(side(2)), Stage::Ask), Course::First);
-    assert_eq!(play(side(1_000), Some(side(0)), Stage::Take), Course::First);
+    assert_eq!(play(side(1), Some(side(0)), OfferStage::Ask), Course::First);
+    assert_eq!(play(side(128), Some(side(0)), OfferStage::Ask), Course::First);
+    assert_eq!(play(side(900), Some(side(850)), OfferStage::Ask), Course::First);
+    assert_eq!(play(side(2), Some(side(2)), OfferStage::Ask), Course::First);
+    assert_eq!(play(side(1_000), Some(side(0)), OfferStage::Take), Course::First);
 }
 
 #[test]
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::bus::{Answer, FlowStatus};
+use jujubepost::protocol::{Answer, FlowStatus};
 use jujubepost::steer::Steer;
 use jujubepost::store::mirror::{self, Ask, News, Source};
 use jujubepost::store::{Batch, Keeper, Kv};
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::bus::{Answer, FlowStatus, Mode, QUESTIONS};
 use jujubepost::policy::Steering;
+use jujubepost::protocol::{Answer, FlowStatus, ForwardMode, MAX_QUESTIONS};
 use jujubepost::steer::Steer;
 
 const MS: Duration = Duration::from_millis(1);
@@ -69,7 +69,7 @@
                 let w = answer(&mut after, agent, port, status, hint, now);
                 asked.extend(w.asked());
                 if status == FlowStatus::Held {
-                    assert_eq!(w.carried(Mode::Owner), [owner]);
+                    assert_eq!(w.carried(ForwardMode::Owner), [owner]);
                     break;
                 }
             }
@@ -95,7 +95,7 @@
     assert_eq!(w.asked().len(), 1);
     assert!(w.peers.iter().all(|(_, _, data)| data.is_empty()));
     let w = answer(&mut s, w.asked()[0], 1, FlowStatus::Held, None, now);
-    assert_eq!(w.carried(Mode::Owner).len(), 3);
+    assert_eq!(w.carried(ForwardMode::Owner).len(), 3);
 }
 
 /// All flows together keep no more than a bound of bytes, but for one packet of
@@ -110,7 +110,7 @@
             packet(s, port, now);
         }
         tick(s, now);
-        answer(s, agent(1), port, FlowStatus::Held, None, now).carried(Mode::Owner).len()
+        answer(s, agent(1), port, FlowStatus::Held, None, now).carried(ForwardMode::Owner).len()
     };
     // Packets of six bytes.
     assert_eq!(found(&mut s, 1), 5);
@@ -134,7 +134,7 @@
         Sent::Ask { flows } => flows.len(),
         _ => 0,
     });
-    assert!(sizes.clone().all(|n| n <= QUESTIONS) && sizes.sum::<usize>() > 300);
+    assert!(sizes.clone().all(|n| n <= MAX_QUESTIONS) && sizes.sum::<usize>() > 300);
     assert!(s.next_due(now).unwrap() <= now + 10 * MS);
     assert!(tick(&mut s, now + MS).asked().is_empty());
     assert_eq!(tick(&mut s, now + 100 * MS).asked().len(), 10);
@@ -184,7 +184,8 @@
     let taker = w.opens()[0];
     s.roster.pong(home, SERVICE, 0, now + 42 * MS);
     let mut w = Wires::default();
-    let held = jujubepost::bus::Note { flow: flow(1), status: FlowStatus::Held, load: 0 };
+    let held =
+        jujubepost::protocol::FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
     s.note(taker, held, now + 43 * MS, &mut w);
     let hint = Sent::Hint { flow: flow(1), agent: taker };
     assert_eq!(w.peers, [(home, hint, vec![])], "offered {offer:?}");
@@ -218,15 +219,15 @@
         packet(&mut s, 1, at);
         tick(&mut s, at);
         let early: usize =
-            (1..=5).map(|n| unverified(&mut s, n, at).carried(Mode::Try).len()).sum();
+            (1..=5).map(|n| unverified(&mut s, n, at).carried(ForwardMode::Try).len()).sum();
         assert_eq!(early, 0, "agent 6 may answer yet");
-        let tried = tick(&mut s, at + 41 * MS).carried(Mode::Try);
+        let tried = tick(&mut s, at + 41 * MS).carried(ForwardMode::Try);
         assert_eq!(tried.len(), if left { 2 } else { 0 }, "left {left}");
         if left {
             let foreign =
                 |s: &mut Steer, a| answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS);
-            assert!(foreign(&mut s, tried[0]).carried(Mode::Try).is_empty());
-            let rest = foreign(&mut s, tried[1]).carried(Mode::Try);
+            assert!(foreign(&mut s, tried[0]).carried(ForwardMode::Try).is_empty());
+            let rest = foreign(&mut s, tried[1]).carried(ForwardMode::Try);
             assert_eq!(rest.len(), 3, "the flow's own is among them");
         }
     }
@@ -246,22 +247,24 @@
         let owner = tick(&mut s, at).asked()[0];
         let hint = named_itself.then_some(owner);
         let mut tried =
-            answer(&mut s, owner, 1, FlowStatus::Unverified, hint, at).carried(Mode::Try);
+            answer(&mut s, owner, 1, FlowStatus::Unverified, hint, at).carried(ForwardMode::Try);
         if !named_itself {
             assert!(tried.is_empty());
             let next = (1..=5).map(agent).find(|a| *a != owner).unwrap();
             let w = answer(&mut s, next, 1, FlowStatus::Unknown, Some(owner), at);
-            tried = w.carried(Mode::Try);
+            tried = w.carried(ForwardMode::Try);
         }
         assert_eq!(tried, [owner]);
         let mut more = Vec::new();
         for a in (1..=5).map(agent).filter(|a| *a != owner) {
-            more.extend(answer(&mut s, a, 1, FlowStatus::Unverified, None, at).carried(Mode::Try));
+            more.extend(
+                answer(&mut s, a, 1, FlowStatus::Unverified, None, at).carried(ForwardMode::Try),
+            );
         }
-        more.extend(tick(&mut s, at + 41 * MS).carried(Mode::Try));
+        more.extend(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try));
         assert!(more.is_empty(), "{more:?}");
         let w = answer(&mut s, owner, 1, FlowStatus::Held, None, at + 42 * MS);
-        assert!(w.carried(Mode::Try).is_empty());
+        assert!(w.carried(ForwardMode::Try).is_empty());
     }
 }
 
@@ -277,8 +280,8 @@
     let at = now + 100 * MS;
     packet(&mut s, 1, at);
     tick(&mut s, at);
-    (1..=5).for_each(|n| assert!(unverified(&mut s, n, at).carried(Mode::Try).is_empty()));
-    assert!(tick(&mut s, at + 41 * MS).carried(Mode::Try).is_empty());
+    (1..=5).for_each(|n| assert!(unverified(&mut s, n, at).carried(ForwardMode::Try).is_empty()));
+    assert!(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try).is_empty());
 }
 
 /// Seen: after a loss of power in the middle of a release, no lost flow was reset
@@ -293,9 +296,9 @@
     let now = Instant::now();
     let other = |n, status, s: &mut Steer, port, at| answer(s, agent(n), port, status, None, at);
     for (said, reborn, resets) in [
-        (FlowStatus::Ended, false, 1),
+        (FlowStatus::TargetEnded, false, 1),
         (FlowStatus::Unknown, false, 0),
-        (FlowStatus::Ended, true, 0),
+        (FlowStatus::TargetEnded, true, 0),
     ] {
         let mut s = steer(6, now);
         packet(&mut s, 1, now);
--- a/tests/steer.rs
+++ b/tests/steer.rs
@@ -8,8 +8,8 @@
 
 use common::wires::*;
 use jujubepost::agent::place::UNABLE;
-use jujubepost::bus::{FlowStatus, Mode, Note};
 use jujubepost::metrics::Refusal;
+use jujubepost::protocol::{FlowStatus, FlowUpdate, ForwardMode};
 use jujubepost::steer::Steer;
 
 const MS: Duration = Duration::from_millis(1);
@@ -17,7 +17,7 @@
 fn note(s: &mut Steer, from: SocketAddrV4, port: u16, status: FlowStatus, now: Instant) -> Wires {
     let mut w = Wires::default();
     let load = if matches!(status, FlowStatus::Refused(_)) { UNABLE } else { 0 };
-    s.note(from, Note { flow: flow(port), status, load }, now, &mut w);
+    s.note(from, FlowUpdate { flow: flow(port), status, load }, now, &mut w);
     s.tick(now, &mut w);
     w
 }
@@ -43,7 +43,7 @@
     let first = packet(&mut s, syn(1), now).opens()[0];
     note(&mut s, first, 1, FlowStatus::Held, now);
     let w = packet(&mut s, data(1, 1_001, 1, 10), now);
-    assert_eq!(w.carried(Mode::Owner), [first]);
+    assert_eq!(w.carried(ForwardMode::Owner), [first]);
     // A copy of the open goes where the first went.
     assert_eq!(packet(&mut s, syn(1), now + 200 * MS).opens(), [first]);
 }
@@ -77,8 +77,11 @@
     assert_eq!(all, [agent(1), agent(2), agent(3)]);
     // The owner gets the packet that was kept, and those that follow.
     let w = note(&mut s, others[0], 1, FlowStatus::Held, now);
-    assert_eq!(w.carried(Mode::Owner), [others[0]]);
-    assert_eq!(packet(&mut s, data(1, 1_011, 77, 10), now).carried(Mode::Owner), [others[0]]);
+    assert_eq!(w.carried(ForwardMode::Owner), [others[0]]);
+    assert_eq!(
+        packet(&mut s, data(1, 1_011, 77, 10), now).carried(ForwardMode::Owner),
+        [others[0]]
+    );
     // The agent was restarted and its target does not hold it: asked again.
     note(&mut s, others[0], 1, FlowStatus::Unknown, now);
     assert_eq!(packet(&mut s, data(1, 1_011, 77, 10), now).asked(), home);
@@ -124,7 +127,9 @@
         let at = now + round * 200 * MS;
         packet(&mut s, data(1, 1_001, 77, 10), at);
         for n in 1..=4 {
-            tried.extend(note(&mut s, agent(n), 1, FlowStatus::Unverified, at).carried(Mode::Try));
+            tried.extend(
+                note(&mut s, agent(n), 1, FlowStatus::Unverified, at).carried(ForwardMode::Try),
+            );
         }
     }
     tried.sort();
@@ -134,14 +139,16 @@
     packet(&mut s, data(1, 1_001, 77, 10), at);
     let mut more = Vec::new();
     for n in 1..=4 {
-        more.extend(note(&mut s, agent(n), 1, FlowStatus::Unverified, at).carried(Mode::Try));
+        more.extend(
+            note(&mut s, agent(n), 1, FlowStatus::Unverified, at).carried(ForwardMode::Try),
+        );
     }
     assert_eq!(more.len(), 0, "after a pause");
 }
 
 /// What an agent says that has not heard of flow 1.
 fn unverified(s: &mut Steer, n: u8, at: Instant) -> Vec<SocketAddrV4> {
-    note(s, agent(n), 1, FlowStatus::Unverified, at).carried(Mode::Try)
+    note(s, agent(n), 1, FlowStatus::Unverified, at).carried(ForwardMode::Try)
 }
 
 /// Agents that restart: the flow's own may be the one that is silent, so no
@@ -155,7 +162,7 @@
     for n in 1..=3 {
         assert!(unverified(&mut s, n, at).is_empty());
     }
-    assert!(tick(&mut s, at + 41 * MS).carried(Mode::Try).is_empty(), "agent 4 is silent");
+    assert!(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try).is_empty(), "agent 4 is silent");
     // The caller's next copy; agent 4 is back.
     let at = at + 600 * MS;
     packet(&mut s, data(1, 1_001, 77, 10), at);
@@ -168,7 +175,7 @@
         let at = now + 100 * MS + round * 500 * MS;
         packet(&mut s, data(1, 1_001, 77, 10), at);
         (1..=3).for_each(|n| assert!(unverified(&mut s, n, at).is_empty()));
-        tried.push(tick(&mut s, at + 41 * MS).carried(Mode::Try).len());
+        tried.push(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try).len());
     }
     assert_eq!(tried, [0, 0, 0, 2]);
 }
@@ -184,9 +191,9 @@
     let first: Vec<_> = (1..=5).flat_map(|n| unverified(&mut s, n, now)).collect();
     assert_eq!(first.len(), 2);
     let w = note(&mut s, first[0], 1, FlowStatus::NotOwner, now);
-    assert!(w.carried(Mode::Try).is_empty(), "one of the two has not answered");
+    assert!(w.carried(ForwardMode::Try).is_empty(), "one of the two has not answered");
     let w = note(&mut s, first[1], 1, FlowStatus::NotOwner, now);
-    let rest = w.carried(Mode::Try);
+    let rest = w.carried(ForwardMode::Try);
     assert_eq!(rest.len(), 3);
     assert!(rest.iter().all(|a| !first.contains(a)));
     let resets: Vec<_> =
@@ -347,7 +354,8 @@
         let mut tried = Vec::new();
         for n in 1..=7 {
             tried.extend(
-                note(&mut after, agent(n), port, FlowStatus::Unverified, now).carried(Mode::Try),
+                note(&mut after, agent(n), port, FlowStatus::Unverified, now)
+                    .carried(ForwardMode::Try),
             );
         }
         assert_eq!(tried.len(), 2);
@@ -395,5 +403,5 @@
     s.roster.missed(agent(3), now + 50 * MS);
     let at = now + 4_100 * MS;
     let w = packet(&mut s, data(1, 1_001, 77, 10), at);
-    assert_eq!((w.asked().len(), w.carried(Mode::Owner).len()), (1, 0));
+    assert_eq!((w.asked().len(), w.carried(ForwardMode::Owner).len()), (1, 0));
 }
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -3,14 +3,14 @@
 
 use std::time::{Duration, Instant};
 
-use jujubepost::stream::{Reorder, Window};
+use jujubepost::stream::{ReorderBuffer, SendWindow};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const RTO: Duration = Duration::from_millis(200);
 
 #[test]
 fn doubled_taken_once() {
-    let mut r = Reorder::new(1);
+    let mut r = ReorderBuffer::new(1);
     r.insert(1, 'a');
     r.insert(1, 'b');
     assert_eq!(r.pop(), Some('a'));
@@ -22,7 +22,7 @@
 #[test]
 fn resend_backs_off() {
     let t0 = Instant::now();
-    let mut w = Window::new(RTO, t0);
+    let mut w = SendWindow::new(RTO, t0);
     w.push(1, 'a', t0);
     assert_eq!(w.resend(t0).count(), 0);
     assert_eq!(w.resend(t0 + RTO).count(), 1);
@@ -40,7 +40,7 @@
 #[test]
 fn tried_often() {
     let start = Instant::now();
-    let mut w = Window::new(Duration::from_millis(200), start);
+    let mut w = SendWindow::new(Duration::from_millis(200), start);
     w.push(1, "a", start);
     let mut copies = 1;
     while let Some(due) = w.due().filter(|at| *at < start + Duration::from_secs(3)) {
@@ -54,7 +54,7 @@
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = Instant::now();
-        let (mut w, mut r) = (Window::new(RTO, now), Reorder::new(1));
+        let (mut w, mut r) = (SendWindow::new(RTO, now), ReorderBuffer::new(1));
         let mut wire: Vec<(u32, u32)> = Vec::new();
         let (mut sent, mut got) = (0, Vec::new());
         while got.len() < 300 {
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use jujubepost::table::Table;
+use jujubepost::maglev::MaglevTable;
 
 fn names(n: usize) -> Vec<(Arc<str>, usize)> {
     (0..n).map(|i| (Arc::from(format!("meter-{i}")), i)).collect()
@@ -12,18 +12,18 @@
 
 #[test]
 fn same_list_same_picks() {
-    let a = Table::new(names(7));
+    let a = MaglevTable::new(names(7));
     let mut shuffled = names(7);
     shuffled.reverse();
-    let b = Table::new(shuffled);
+    let b = MaglevTable::new(shuffled);
     assert!(a.owners().eq(b.owners()));
 }
 
 #[test]
 fn removal_moves_few() {
-    let before = Table::new(names(7));
+    let before = MaglevTable::new(names(7));
     assert!(before.size() >= 7 * 80);
-    let after = Table::new(names(7).into_iter().filter(|(_, i)| *i != 3).collect());
+    let after = MaglevTable::new(names(7).into_iter().filter(|(_, i)| *i != 3).collect());
     let moved = before.owners().zip(after.owners()).filter(|(x, y)| x != y).count();
     let share = moved as f64 / before.size() as f64;
     // Only meter-3's buckets (about 1/7) should move, plus a little.
@@ -32,7 +32,7 @@
 
 #[test]
 fn spread_is_even() {
-    let t = Table::new(names(7));
+    let t = MaglevTable::new(names(7));
     let mut counts: HashMap<Arc<str>, u32> = HashMap::new();
     for flow in 0..70_000u64 {
         let (name, _) = t.pick(flow.wrapping_mul(0x9e37_79b9_7f4a_7c15)).unwrap();
@@ -44,13 +44,13 @@
 
 #[test]
 fn empty_picks_none() {
-    let t: Table<usize> = Table::new(Vec::new());
+    let t: MaglevTable<usize> = MaglevTable::new(Vec::new());
     assert!(t.pick(1).is_none());
 }
 
 #[test]
 fn pair_differs() {
-    let t = Table::new(names(7));
+    let t = MaglevTable::new(names(7));
     let mut counts = [0u32; 7];
     for flow in 0..7_000 {
         let (a, b) = t.pair(flow).unwrap();
@@ -59,11 +59,11 @@
         counts[*b] += 1;
     }
     assert!(counts.iter().all(|&n| (700..1_300).contains(&n)), "{counts:?}");
-    assert_eq!(Table::new(names(1)).pair(9), Some((&0, None)));
+    assert_eq!(MaglevTable::new(names(1)).pair(9), Some((&0, None)));
 }
 
 #[test]
 fn size_grows_with_list() {
-    let size = |n| Table::new(names(n)).size();
+    let size = |n| MaglevTable::new(names(n)).size();
     assert_eq!((size(1), size(25), size(26), size(409)), (2_039, 2_039, 32_749, 32_749));
 }
