--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use jujubepost::balancer::{self, Pool, View};
-use jujubepost::bus::{self, FlowStatus, Message, Mode, Note};
 use jujubepost::flow::{Flags, Flow, Segment};
-use jujubepost::hold::{self, Holder, Report, State};
+use jujubepost::maglev::MaglevTable;
 use jujubepost::platform::packet;
+use jujubepost::protocol::{self, FlowStatus, FlowUpdate, ForwardMode, Message};
 use jujubepost::settings::{Policy, ProfileSettings, Service};
 use jujubepost::steering::{self, FlowSteering, ListedAgent, Route, Routes, WeightedService};
-use jujubepost::table::Table;
-use jujubepost::wire::{self, Kind, Owner, Packet};
+use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
+use jujubepost::wire::{self, Owner, Packet, PacketKind};
 
 const RUNS: usize = 9;
 const FLOWS: u16 = 10_000;
@@ -33,26 +33,26 @@
 
 impl steering::Transmit for Encode {
     fn send_to_agent(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        bus::encode(message, packet, &mut self.buf).unwrap();
+        protocol::encode(message, packet, &mut self.buf).unwrap();
         self.sent += black_box(self.buf.len()) as u64;
     }
 
     fn send_reset(&mut self, _: Flow, _: u32) {}
 }
 
-impl hold::Out for Encode {
-    fn target(&mut self, packet: &[u8]) {
+impl tracker::Transmit for Encode {
+    fn send_to_target(&mut self, packet: &[u8]) {
         self.sent += black_box(packet.len()) as u64;
     }
 
-    fn caller(&mut self, _: SocketAddrV4, packet: &[u8]) {
+    fn send_to_caller(&mut self, _: SocketAddrV4, packet: &[u8]) {
         self.sent += black_box(packet.len()) as u64;
     }
 
-    fn reset(&mut self, _: Flow, _: u32) {}
+    fn send_reset(&mut self, _: Flow, _: u32) {}
 
-    fn peer(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        bus::encode(message, packet, &mut self.buf).unwrap();
+    fn send_message(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+        protocol::encode(message, packet, &mut self.buf).unwrap();
         self.sent += black_box(self.buf.len()) as u64;
     }
 }
@@ -66,7 +66,7 @@
 }
 
 fn flow(port: u16) -> Flow {
-    Flow { caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), port), service: vip() }
+    Flow { caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), port), vip: vip() }
 }
 
 fn datagram(port: u16, syn: bool) -> Vec<u8> {
@@ -74,7 +74,7 @@
     let flags = Flags { syn, ack: !syn, ..Flags::default() };
     let data = vec![7; if syn { 0 } else { DATA }];
     let len = data.len() as u16;
-    let seg = Segment { from: f.caller, to: f.service, flags, seq: 1, ack: 1, len };
+    let seg = Segment { src: f.caller, dst: f.vip, flags, seq: 1, ack: 1, len };
     packet::encode(&seg, &data)
 }
 
@@ -105,7 +105,7 @@
     let mut out = Encode::default();
     for (port, p) in (1..=FLOWS).zip(packets) {
         s.handle_packet(&packet::decode(p).unwrap(), p, now, &mut out);
-        let note = Note { flow: flow(port), status: FlowStatus::Held, load: 0 };
+        let note = FlowUpdate { flow: flow(port), status: FlowStatus::Held, load: 0 };
         s.handle_note(addr(1), note, now, &mut out);
     }
     s
@@ -133,25 +133,32 @@
     println!("balancer, open offered and noted: {opened:.0} ns");
 
     let now = Instant::now();
-    let mut h = Holder::new("meter".into(), Duration::from_secs(60));
+    let mut h = FlowTracker::new("meter".into(), Duration::from_secs(60));
     let (start, service) = ("i-1".into(), "meter".to_string());
     let cold = Duration::ZERO;
-    let report = Report { start, service, slots: 5, state: State::Ready, cold, seq: 9 };
-    h.report(report, now);
-    let message = Message::Carry { service: "meter", mode: Mode::Owner };
+    let report = Report {
+        incarnation: start,
+        service,
+        slots: 5,
+        state: TargetState::Ready,
+        warmup: cold,
+        seq: 9,
+    };
+    h.handle_report(report, now);
+    let message = Message::Forward { service: "meter", mode: ForwardMode::Owner };
     let mut buf = Vec::new();
     let carried: Vec<Vec<u8>> = data
         .iter()
         .map(|p| {
-            bus::encode(&message, p, &mut buf).unwrap();
+            protocol::encode(&message, p, &mut buf).unwrap();
             buf.clone()
         })
         .collect();
     let handed = median(|| {
         let start = Instant::now();
         for c in &carried {
-            let (m, p) = bus::decode(c).unwrap();
-            h.message(addr(200), &m, Some(&packet::decode(p).unwrap()), p, start, &mut out);
+            let (m, p) = protocol::decode(c).unwrap();
+            h.handle_message(addr(200), &m, Some(&packet::decode(p).unwrap()), p, start, &mut out);
         }
         start.elapsed()
     });
@@ -161,7 +168,7 @@
             let f = flow(p);
             let flags = Flags { ack: true, ..Flags::default() };
             let len = DATA as u16;
-            let seg = Segment { from: f.service, to: f.caller, flags, seq: 1, ack: 1, len };
+            let seg = Segment { src: f.vip, dst: f.caller, flags, seq: 1, ack: 1, len };
             packet::encode(&seg, &vec![7; DATA])
         })
         .collect();
@@ -170,7 +177,7 @@
         for a in &answers {
             let mut a = a.clone();
             let seg = packet::decode(&a).unwrap();
-            h.target_packet(&seg, &mut a, start, &mut out, packet::clear_bounced);
+            h.handle_target_packet(&seg, &mut a, start, &mut out, packet::clear_bounced);
         }
         start.elapsed()
     });
@@ -193,15 +200,26 @@
     let entries: Vec<(Arc<str>, SocketAddrV4)> =
         (1..=10).map(|n| (format!("meter-{n}").into(), addr(n))).collect();
     let owners: HashSet<SocketAddrV4> = (1..=10).map(addr).collect();
-    let pool = Arc::new(Pool { table: Table::new(entries), owners });
+    let pool = Arc::new(Pool { table: MaglevTable::new(entries), owners });
     let view = View { routes: HashMap::from([(443, balancer::Route { spec, pool })]) };
     let packets: Vec<Vec<u8>> = (0..u64::from(FLOWS))
         .map(|flow| {
             let owner = Owner::new(addr(1), 7);
             let body = vec![7; DATA];
             let reply = vip().into();
-            let (kind, seq, ack, port, offer) = (Kind::Data, 1, 1, 443, None);
-            wire::encode(&Packet { flow, port, kind, seq, ack, owner, reply, offer, body }).unwrap()
+            let (kind, seq, ack, port, offer) = (PacketKind::Data, 1, 1, 443, None);
+            wire::encode(&Packet {
+                flow,
+                port,
+                kind,
+                seq,
+                ack,
+                owner,
+                reply_to: reply,
+                offer,
+                body,
+            })
+            .unwrap()
         })
         .collect();
     median(|| {
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 
 use crate::events;
-use crate::hold::{Holder, Out};
+use crate::tracker::{FlowTracker, Transmit};
 
 /// How long the target's port may take to answer; it is on the same VM.
 const PROBE: Duration = Duration::from_millis(300);
@@ -34,28 +34,28 @@
 
 /// What the port of the target showed is noted.
 pub(super) fn note(
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     found: Port,
     target: SocketAddrV4,
     now: Instant,
-    out: &mut impl Out,
+    out: &mut impl Transmit,
 ) {
     match found {
         Port::Closed => {
             log::warn!(
                 event = events::EDGE_TARGET, target:% = target, state = "crashed",
-                flows = holder.flows();
+                flows = holder.flow_count();
                 "target's port is closed"
             );
-            holder.crashed(out);
+            holder.mark_target_ended(out);
         }
         Port::Open | Port::Silent => {
             log::info!(
                 event = events::EDGE_TARGET, target:% = target, state = "silent",
-                port:? = found, waiting = holder.waiting();
+                port:? = found, waiting = holder.waiting_count();
                 "target does not answer"
             );
-            holder.slow(now);
+            holder.defer_probe(now);
         }
     }
 }
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -8,29 +8,29 @@
 use ntex::http::StatusCode;
 
 use super::announce::Entry;
-use crate::hold::Holder;
 use crate::listen::{Answer, Asked, Server};
 use crate::platform::report;
+use crate::tracker::FlowTracker;
 use crate::{events, metrics};
 
 /// Takes the target's reports.
 pub(super) async fn serve(
     addr: SocketAddr,
-    holder: Rc<RefCell<Holder>>,
+    holder: Rc<RefCell<FlowTracker>>,
     entry: Rc<Entry>,
 ) -> anyhow::Result<Server> {
     Server::start(addr, move |asked| heard(&asked, &mut holder.borrow_mut(), &entry)).await
 }
 
-fn heard(asked: &Asked, holder: &mut Holder, entry: &Entry) -> Answer {
+fn heard(asked: &Asked, holder: &mut FlowTracker, entry: &Entry) -> Answer {
     let now = Instant::now();
     match report::decode(&asked.path, &asked.body, entry.target) {
         Ok(Some(report::Call::Heartbeat(r))) => {
-            let (start, state, seq) = (r.start.clone(), r.state, r.seq);
-            if holder.report(r, now) {
+            let (start, state, seq) = (r.incarnation.clone(), r.state, r.seq);
+            if holder.handle_report(r, now) {
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state:% = state, report = seq,
-                    flows = holder.flows();
+                    flows = holder.flow_count();
                     "target reports"
                 );
                 entry.serves(start);
@@ -38,10 +38,10 @@
             Answer::json(report::ANSWER.to_string())
         }
         Ok(Some(report::Call::Gone(start))) => {
-            if holder.gone(&start, now) {
+            if holder.handle_shutdown_notice(&start, now) {
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state = "gone",
-                    flows = holder.flows();
+                    flows = holder.flow_count();
                     "target ends"
                 );
             }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -1,5 +1,5 @@
 //! The agent beside a target: hands it the packets of its flows, sends its
-//! packets to the callers, and takes its reports, as [`Holder`] decides.
+//! packets to the callers, and takes its reports, as [`FlowTracker`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -17,12 +17,12 @@
 use super::port::{self, Port};
 use super::socket::Socket;
 use super::{AGENTS, Settings, pause, reports, store};
-use crate::bus::{self, Message};
 use crate::flow::Flow;
-use crate::hold::{self, Holder, Target};
 use crate::listen::{Answer, Server};
 use crate::platform::packet;
+use crate::protocol::{self, Message};
 use crate::steering::ListedAgent;
+use crate::tracker::{self, FlowTracker, Target};
 use crate::{events, metrics};
 
 /// Largest packet, in bytes.
@@ -75,20 +75,20 @@
     buf: &'a mut Vec<u8>,
 }
 
-impl hold::Out for Sender<'_> {
-    fn target(&mut self, packet: &[u8]) {
+impl tracker::Transmit for Sender<'_> {
+    fn send_to_target(&mut self, packet: &[u8]) {
         self.wires.outbound.send(self.wires.target, packet);
     }
 
-    fn caller(&mut self, to: SocketAddrV4, packet: &[u8]) {
+    fn send_to_caller(&mut self, to: SocketAddrV4, packet: &[u8]) {
         self.wires.bus.send(SocketAddrV4::new(*to.ip(), self.wires.port), packet);
     }
 
-    fn reset(&mut self, flow: Flow, seq: u32) {
-        self.caller(flow.caller, &packet::reset(flow, seq));
+    fn send_reset(&mut self, flow: Flow, seq: u32) {
+        self.send_to_caller(flow.caller, &packet::reset(flow, seq));
     }
 
-    fn peer(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+    fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         self.wires.bus.message(to, message, packet, self.buf);
     }
 }
@@ -102,8 +102,8 @@
     let settings = Settings::load(path)?;
     let service = settings.service.clone().with_context(missing("service"))?;
     let wires = Wires::bind(&settings).await?;
-    let holder =
-        Holder::new(service.clone(), settings.flow_life()).policy(settings.policy.agent.clone());
+    let holder = FlowTracker::new(service.clone(), settings.flow_life())
+        .with_policy(settings.policy.agent.clone());
     let holder = Rc::new(RefCell::new(holder));
     let inspect = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
@@ -116,7 +116,7 @@
     match earlier(&store, &key).await {
         Earlier::Unknown => {}
         Earlier::None => holder.borrow_mut().mark_new(),
-        Earlier::Listed(target) => holder.borrow_mut().follows(target, Instant::now()),
+        Earlier::Listed(target) => holder.borrow_mut().set_predecessor(target, Instant::now()),
     }
     let me =
         ListedAgent { addr: settings.bus(), zone: settings.zone.clone(), service, target: None };
@@ -134,13 +134,13 @@
     super::until_stopped(path, forward(&wires, &holder, &entry)).await?;
     let ended = target_ended(&wires, &holder).await;
     log::info!(
-        event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flows(),
-        waiting = holder.borrow().waiting(), target_ended = ended;
+        event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flow_count(),
+        waiting = holder.borrow().waiting_count(), target_ended = ended;
         "agent stops"
     );
     announcer.abort();
     let _ = announcer.await;
-    holder.borrow_mut().stop();
+    holder.borrow_mut().stop_accepting();
     let most = settings.grace().mul_f64(STOP_PART);
     let last = async {
         if ended {
@@ -156,8 +156,10 @@
         () = last => {}
     }
     if !ended {
-        let mut buf = Vec::with_capacity(bus::DATAGRAM);
-        holder.borrow().hand_over(settings.bus(), &mut Sender { wires: &wires, buf: &mut buf });
+        let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
+        holder
+            .borrow()
+            .send_owner_hints(settings.bus(), &mut Sender { wires: &wires, buf: &mut buf });
     }
     desk.stop().await;
     super::finish(inspect, ready).await;
@@ -169,31 +171,31 @@
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
-async fn idle(holder: &RefCell<Holder>) {
-    while !holder.borrow().idle() {
+async fn idle(holder: &RefCell<FlowTracker>) {
+    while !holder.borrow().is_drained() {
         tokio::time::sleep(STOP_POLL).await;
     }
 }
 
 /// Whether the target's process is over, for an agent that is told to stop: its
 /// port is tried, as its goodbye may have been lost or be a moment old.
-async fn target_ended(wires: &Wires, holder: &RefCell<Holder>) -> bool {
-    if !holder.borrow().ended() && port::probe(wires.target).await == Port::Closed {
-        let mut buf = Vec::with_capacity(bus::DATAGRAM);
+async fn target_ended(wires: &Wires, holder: &RefCell<FlowTracker>) -> bool {
+    if !holder.borrow().target_ended() && port::probe(wires.target).await == Port::Closed {
+        let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
         let mut out = Sender { wires, buf: &mut buf };
         port::note(&mut holder.borrow_mut(), Port::Closed, wires.target, Instant::now(), &mut out);
     }
-    holder.borrow().ended()
+    holder.borrow().target_ended()
 }
 
-impl Inspect for Holder {
+impl Inspect for FlowTracker {
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value {
-        Self::beliefs(self, flow, Instant::now())
+        Self::status_json(self, flow, Instant::now())
     }
 
     fn gauge(&self) {
-        metrics::state("flows", self.flows() as u64);
-        metrics::state("waiting", self.waiting().into());
+        metrics::state("flows", self.flow_count() as u64);
+        metrics::state("waiting", self.waiting_count().into());
     }
 }
 
@@ -210,21 +212,21 @@
 fn read_bus(
     wires: &Wires,
     buf: &mut [u8],
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     now: Instant,
     out: &mut Sender<'_>,
 ) -> Heard {
     let mut heard = Heard::default();
     wires.bus.drain(buf, |datagram, from| {
         heard.any = true;
-        let Ok((message, packet)) = bus::decode(datagram) else {
+        let Ok((message, packet)) = protocol::decode(datagram) else {
             metrics::dropped("not a message");
             return;
         };
         heard.unlisted |= message == Message::Ping { listed: false };
         match (packet.is_empty(), packet::decode(packet)) {
-            (true, _) => holder.message(from, &message, None, packet, now, out),
-            (false, Ok(seg)) => holder.message(from, &message, Some(&seg), packet, now, out),
+            (true, _) => holder.handle_message(from, &message, None, packet, now, out),
+            (false, Ok(seg)) => holder.handle_message(from, &message, Some(&seg), packet, now, out),
             (false, Err(e)) => metrics::dropped(e),
         }
     });
@@ -235,20 +237,20 @@
 fn read_target(
     wires: &Wires,
     buf: &mut [u8],
-    holder: &mut Holder,
+    holder: &mut FlowTracker,
     now: Instant,
     out: &mut Sender<'_>,
 ) {
     wires.outbound.drain(buf, |datagram, _| match packet::decode(datagram) {
-        Ok(seg) => holder.target_packet(&seg, datagram, now, out, packet::clear_bounced),
+        Ok(seg) => holder.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
         Err(e) => metrics::dropped(e),
     });
 }
 
 /// Forwards packets until told otherwise.
-async fn forward(wires: &Wires, holder: &RefCell<Holder>, entry: &Entry) {
+async fn forward(wires: &Wires, holder: &RefCell<FlowTracker>, entry: &Entry) {
     let mut buf = vec![0; PACKET];
-    let mut scratch = Vec::with_capacity(bus::DATAGRAM);
+    let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
     let mut relisted: Option<Instant> = None;
     let mut probes = JoinSet::new();
     let mut heard_at = Instant::now();
@@ -284,7 +286,7 @@
         if heard.any {
             heard_at = now;
         }
-        let serves = holder.target().is_some_and(Target::alive);
+        let serves = holder.target().is_some_and(Target::is_alive);
         if heard.unlisted && serves && relisted.is_none_or(|at| now.duration_since(at) >= RELIST) {
             relisted = Some(now);
             log::info!(event = events::EDGE_STORE; "entry missing in the store, written again");
--- a/src/model/world.rs
+++ b/src/model/world.rs
@@ -16,12 +16,12 @@
 use super::stats::Stats;
 use super::target::{Target, Timer};
 use super::wires::Wires;
-use crate::bus;
 use crate::flow::Flow;
-use crate::hold::Holder;
 use crate::platform::packet;
 use crate::policy::Policy;
+use crate::protocol;
 use crate::steering::FlowSteering;
+use crate::tracker::FlowTracker;
 
 /// Delay between an agent and the target on its VM.
 pub(super) const LOCAL: Duration = Duration::from_micros(50);
@@ -126,7 +126,7 @@
 /// An agent with its VM and target.
 pub(super) struct Agent {
     pub(super) host: Host,
-    pub(super) holder: Holder,
+    pub(super) holder: FlowTracker,
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
@@ -218,7 +218,7 @@
 }
 
 pub(super) fn class_of(flow: Flow) -> usize {
-    usize::from(flow.service.ip().octets()[3]) - 1
+    usize::from(flow.vip.ip().octets()[3]) - 1
 }
 
 pub(super) fn zone_name(zone: u8) -> Arc<str> {
@@ -273,7 +273,7 @@
         let Batch { packets, messages } = b.host.read();
         let mut out = Wires::default();
         for (from, bytes) in &messages {
-            if let Ok((message, _)) = bus::decode(bytes) {
+            if let Ok((message, _)) = protocol::decode(bytes) {
                 b.steer.handle_message(*from, &message, self.now, &mut out);
             }
         }
@@ -307,14 +307,14 @@
         let Batch { mut packets, messages } = a.host.read();
         let mut out = Wires::default();
         for (from, bytes) in &messages {
-            let Ok((message, rest)) = bus::decode(bytes) else { continue };
+            let Ok((message, rest)) = protocol::decode(bytes) else { continue };
             let seg = packet::decode(rest).ok();
-            a.holder.message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
+            a.holder.handle_message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
         }
         for bytes in &mut packets {
             if let Ok(seg) = packet::decode(bytes) {
                 let clear = packet::clear_bounced;
-                a.holder.target_packet(&seg, bytes, self.now, &mut out, clear);
+                a.holder.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
             }
         }
         a.holder.tick(self.now, &mut out);
@@ -335,9 +335,9 @@
         a.probing = false;
         let mut out = Wires::default();
         if a.target.up {
-            a.holder.slow(self.now);
+            a.holder.defer_probe(self.now);
         } else {
-            a.holder.crashed(&mut out);
+            a.holder.mark_target_ended(&mut out);
         }
         self.agent_sends(n, out, self.now);
         self.wake_agent(n, self.now);
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -9,15 +9,15 @@
 use std::time::Instant;
 
 use super::{FlowState, FlowSteering, OwnerSearch, Transmit, send_refusal};
-use crate::bus::{Answer, FlowStatus, Message, Mode};
 use crate::events;
-use crate::flow::{Arrival, Flow};
+use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal, Retry};
+use crate::protocol::{Answer, FlowStatus, ForwardMode, Message};
 
 impl FlowSteering {
     /// Has the owner of a flow found, and keeps its packet until then.
-    pub(super) fn search_owner(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
-        let Arrival { seg, now, .. } = *arrival;
+    pub(super) fn search_owner(&mut self, arrival: &ReceivedPacket<'_>, out: &mut impl Transmit) {
+        let ReceivedPacket { seg, now, .. } = *arrival;
         let flow = arrival.flow();
         let Some(routes) = &self.routes else { return };
         let Some(weighted) = routes.service_for(flow) else {
@@ -217,7 +217,7 @@
             // It has the last packet, which was tried at its target.
             return;
         }
-        let message = Message::Carry { service: &search.service, mode: Mode::Owner };
+        let message = Message::Forward { service: &search.service, mode: ForwardMode::Owner };
         for packet in &search.packets {
             out.send_to_agent(from, &message, packet);
         }
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -35,11 +35,11 @@
 pub use search::OwnerSearch;
 pub use state::{FlowState, PendingOpen};
 
-use crate::bus::{Answer, FlowStatus, Message, Mode, Note};
 use crate::events;
-use crate::flow::{Arrival, Flow, Segment, Table};
+use crate::flow::{Flow, FlowTable, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal};
 use crate::policy::BalancerPolicy;
+use crate::protocol::{Answer, FlowStatus, FlowUpdate, ForwardMode, Message};
 use crate::token_bucket::TokenBucket;
 
 /// What a balancer sends.
@@ -59,7 +59,7 @@
     routes: Option<Routes>,
     /// The agents that the balancer believes in.
     pub roster: Roster,
-    flows: Table<FlowState>,
+    flows: FlowTable<FlowState>,
     deadlines: DeadlineQueue,
     policy: BalancerPolicy,
     queries: QueryQueue,
@@ -87,7 +87,7 @@
             zone,
             routes: None,
             roster: Roster::default(),
-            flows: Table::new(idle),
+            flows: FlowTable::new(idle),
             deadlines: DeadlineQueue::default(),
             policy: BalancerPolicy::default(),
             queries: QueryQueue::new(0.0, 0.0),
@@ -159,18 +159,18 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        let arrival = Arrival { seg, packet, now };
+        let arrival = ReceivedPacket { seg, packet, now };
         if self.routes.is_none() {
             self.park(&arrival);
             return;
         }
-        if seg.opens() {
+        if seg.opens_flow() {
             self.handle_open(&arrival, out);
             return;
         }
         match self.flows.get(arrival.flow(), now) {
             Some(FlowState::Owned { agent, service }) if !self.roster.is_dead(*agent, now) => {
-                let message = Message::Carry { service, mode: Mode::Owner };
+                let message = Message::Forward { service, mode: ForwardMode::Owner };
                 out.send_to_agent(*agent, &message, packet);
             }
             _ => self.search_owner(&arrival, out),
@@ -186,12 +186,12 @@
         out: &mut impl Transmit,
     ) {
         match message {
-            Message::Note(note) => self.handle_note(from, *note, now, out),
-            Message::Answers { answers, load } => {
+            Message::FlowUpdate(note) => self.handle_note(from, *note, now, out),
+            Message::Response { answers, load } => {
                 self.handle_answers(from, answers, *load, now, out)
             }
             Message::Pong { service, load } => self.roster.handle_pong(from, service, *load, now),
-            Message::Ended => self.roster.record_status(from, FlowStatus::Ended),
+            Message::TargetEnded => self.roster.record_status(from, FlowStatus::TargetEnded),
             _ => {}
         }
     }
@@ -200,7 +200,7 @@
     pub fn handle_note(
         &mut self,
         from: SocketAddrV4,
-        note: Note,
+        note: FlowUpdate,
         now: Instant,
         out: &mut impl Transmit,
     ) {
@@ -210,7 +210,7 @@
             FlowStatus::Held => self.record_owner(from, note.flow, now, out),
             FlowStatus::Refused(reason) => self.handle_refusal(from, note.flow, reason, now, out),
             FlowStatus::Unknown
-            | FlowStatus::Ended
+            | FlowStatus::TargetEnded
             | FlowStatus::Unverified
             | FlowStatus::NotOwner => {
                 self.handle_denial(from, note.flow, note.status, now, out);
@@ -367,7 +367,7 @@
     }
 
     /// Keeps a packet that came before any configuration was known.
-    fn park(&mut self, arrival: &Arrival<'_>) {
+    fn park(&mut self, arrival: &ReceivedPacket<'_>) {
         if self.parked.len() >= self.policy.max_parked {
             metrics::refused(Refusal::NoConfig);
             self.parked.pop_front();
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -4,15 +4,15 @@
 use std::time::{Duration, Instant};
 
 use super::{FlowState, FlowSteering, PendingOpen, Transmit, refuse_open};
-use crate::bus::{Message, Open};
 use crate::events;
-use crate::flow::{Arrival, Flow};
+use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal, Retry};
-use crate::wire::{Offer, Stage};
+use crate::protocol::{Message, Open};
+use crate::wire::{Offer, OfferStage};
 
 impl FlowSteering {
     /// Offers a new flow, or the copy of one, to agents.
-    pub(super) fn handle_open(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
+    pub(super) fn handle_open(&mut self, arrival: &ReceivedPacket<'_>, out: &mut impl Transmit) {
         let (flow, seq, now) = (arrival.flow(), arrival.seg.seq, arrival.now);
         let Some((route, weighted)) = self.routes.as_ref().and_then(|r| r.route_for(flow)) else {
             refuse_open(flow, Refusal::NoProfile, out);
@@ -79,13 +79,13 @@
             now,
         );
         let Some((first, second)) = pair else { return false };
-        let stage = if second.is_some() { Stage::Ask } else { Stage::Take };
+        let stage = if second.is_some() { OfferStage::Ask } else { OfferStage::Take };
         let open = Open {
             service: &opening.service,
             max_flows: opening.max_flows,
             aged: now.duration_since(opening.arrived_at) >= self.policy.aged_after,
             offer: Offer { first, second, stage },
-            reply: self.own_addr,
+            reply_to: self.own_addr,
         };
         out.send_to_agent(first, &Message::Open(open), &opening.packet);
         opening.offered_to.push(first);
--- a/src/steering/queries.rs
+++ b/src/steering/queries.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use super::Transmit;
-use crate::bus::{Ask, Message, QUESTIONS, Question};
 use crate::flow::Flow;
+use crate::protocol::{MAX_QUESTIONS, Message, Query, Question};
 use crate::token_bucket::TokenBucket;
 
 #[derive(Debug, Default)]
@@ -68,11 +68,11 @@
             }
             self.round_robin.pop_front();
             let Some(queue) = self.queues.get_mut(&agent) else { continue };
-            let part = queue.questions.len().min(QUESTIONS);
+            let part = queue.questions.len().min(MAX_QUESTIONS);
             let questions = queue.questions.drain(..part).collect();
             out.send_to_agent(
                 agent,
-                &Message::Ask(Ask { service: &queue.service, questions }),
+                &Message::Query(Query { service: &queue.service, questions }),
                 &[],
             );
             if queue.questions.is_empty() {
--- a/src/steering/routes.rs
+++ b/src/steering/routes.rs
@@ -53,7 +53,7 @@
     /// The route of `flow`, and the service for it.
     #[must_use]
     pub fn route_for(&self, flow: Flow) -> Option<(&Route, &WeightedService)> {
-        let route = self.by_address.get(&flow.service)?;
+        let route = self.by_address.get(&flow.vip)?;
         let services = &route.services;
         let total: u64 = services.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use super::Transmit;
-use crate::bus::{FlowStatus, Message, Mode, Question};
 use crate::flow::{Flow, Segment};
 use crate::metrics;
 use crate::policy::BalancerPolicy;
+use crate::protocol::{FlowStatus, ForwardMode, Message, Question};
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
@@ -136,7 +136,7 @@
         out: &mut impl Transmit,
     ) -> bool {
         let Some(packet) = self.packets.back() else { return false };
-        let message = Message::Carry { service: &self.service, mode: Mode::Try };
+        let message = Message::Forward { service: &self.service, mode: ForwardMode::Try };
         for agent in agents {
             out.send_to_agent(*agent, &message, packet);
         }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest datagram body the fabric sends, in bytes.
-pub const MAX_BODY: usize = 16 * 1024;
+pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// What a packet from the fabric does to its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum PacketKind {
     /// Asks for a new flow; carries no bytes, like a TCP SYN. `seq` counts
     /// the tries.
     Open,
@@ -41,7 +41,7 @@
     /// The caller-facing port, which names the profile.
     pub port: u16,
     /// What the packet does.
-    pub kind: Kind,
+    pub kind: PacketKind,
     /// Sequence number: the try for `Open`, then 1, 2, ... for data.
     pub seq: u32,
     /// Every answer below this position has reached the caller.
@@ -49,7 +49,8 @@
     /// The agent that accepted the flow; [`Owner::NONE`] before that.
     pub owner: Owner,
     /// Where the agent sends its replies.
-    pub reply: SocketAddr,
+    #[serde(rename = "reply")]
+    pub reply_to: SocketAddr,
     /// For `Open`: the agents it is offered to, as the balancer picked them.
     pub offer: Option<Offer>,
     /// Caller bytes.
@@ -64,29 +65,29 @@
     /// The other candidate, if the service has a second target.
     pub second: Option<SocketAddrV4>,
     /// How far the offer has come.
-    pub stage: Stage,
+    pub stage: OfferStage,
 }
 
 impl Offer {
     /// The agent that is to decide next.
     #[must_use]
-    pub fn to(&self) -> SocketAddrV4 {
+    pub fn next_agent(&self) -> SocketAddrV4 {
         match self.stage {
-            Stage::Compare { .. } => self.second.unwrap_or(self.first),
-            Stage::Take | Stage::Ask | Stage::Last => self.first,
+            OfferStage::Compare { .. } => self.second.unwrap_or(self.first),
+            OfferStage::Take | OfferStage::Ask | OfferStage::Last => self.first,
         }
     }
 
     /// The candidate that is not to decide next.
     #[must_use]
-    pub fn other(&self) -> Option<SocketAddrV4> {
-        if self.to() == self.first { self.second } else { Some(self.first) }
+    pub fn other_agent(&self) -> Option<SocketAddrV4> {
+        if self.next_agent() == self.first { self.second } else { Some(self.first) }
     }
 }
 
 /// How far an offer has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum OfferStage {
     /// The first takes the flow if it may.
     Take,
     /// The first may ask the second to compare loads.
@@ -102,7 +103,7 @@
 
 /// What a reply from an agent tells the fabric.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ReplyKind {
     /// The flow is accepted by the agent named in the reply's owner.
     Accept,
     /// Every packet below `next` has reached the target.
@@ -145,7 +146,8 @@
     /// The agent that sends it.
     pub owner: Owner,
     /// What it says.
-    pub answer: Answer,
+    #[serde(rename = "answer")]
+    pub kind: ReplyKind,
 }
 
 /// An agent's identity on a flow: its IPv4 address and port and a nonce.
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -7,19 +7,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use jujubepost::bus::{Answer, Ask, FlowStatus, Message, Mode, Note, Open, Question};
 use jujubepost::flow::{Flags, Flow, Segment};
-use jujubepost::hold::{self, Holder, Report, State};
 use jujubepost::policy::BalancerPolicy;
+use jujubepost::protocol::{
+    Answer, FlowStatus, FlowUpdate, ForwardMode, Message, Open, Query, Question,
+};
 use jujubepost::steering::{self, FlowSteering, ListedAgent, Route, Routes, WeightedService};
+use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
 use jujubepost::wire::Offer;
 
 /// A message as it was sent, owned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sent {
     Open { service: String, max_flows: u32, aged: bool, offer: Offer, reply: SocketAddrV4 },
-    Carry { service: String, mode: Mode },
-    Note(Note),
+    Carry { service: String, mode: ForwardMode },
+    Note(FlowUpdate),
     Ask { flows: Vec<Flow> },
     Answers { answers: Vec<Answer> },
     Hint { flow: Flow, agent: SocketAddrV4 },
@@ -36,18 +38,18 @@
                 max_flows: o.max_flows,
                 aged: o.aged,
                 offer: o.offer,
-                reply: o.reply,
+                reply: o.reply_to,
             },
-            Message::Carry { service, mode } => Self::Carry { service: service.into(), mode },
-            Message::Note(n) => Self::Note(n),
-            Message::Ask(ref ask) => {
+            Message::Forward { service, mode } => Self::Carry { service: service.into(), mode },
+            Message::FlowUpdate(n) => Self::Note(n),
+            Message::Query(ref ask) => {
                 Self::Ask { flows: ask.questions.iter().map(|q| q.flow).collect() }
             }
-            Message::Answers { ref answers, .. } => Self::Answers { answers: answers.clone() },
+            Message::Response { ref answers, .. } => Self::Answers { answers: answers.clone() },
             Message::Hint { flow, agent } => Self::Hint { flow, agent },
             Message::Ping { listed } => Self::Ping { listed },
             Message::Pong { load, .. } => Self::Pong { load },
-            Message::Ended => Self::Ended,
+            Message::TargetEnded => Self::Ended,
         }
     }
 
@@ -58,19 +60,19 @@
                 max_flows: *max_flows,
                 aged: *aged,
                 offer: *offer,
-                reply: *reply,
+                reply_to: *reply,
             }),
-            Self::Carry { service, mode } => Message::Carry { service, mode: *mode },
-            Self::Note(n) => Message::Note(*n),
+            Self::Carry { service, mode } => Message::Forward { service, mode: *mode },
+            Self::Note(n) => Message::FlowUpdate(*n),
             Self::Ask { flows } => {
                 let questions = flows.iter().map(|f| Question { flow: *f, ack: None }).collect();
-                Message::Ask(Ask { service: SERVICE, questions })
+                Message::Query(Query { service: SERVICE, questions })
             }
-            Self::Answers { answers } => Message::Answers { answers: answers.clone(), load: 0 },
+            Self::Answers { answers } => Message::Response { answers: answers.clone(), load: 0 },
             Self::Hint { flow, agent } => Message::Hint { flow: *flow, agent: *agent },
             Self::Ping { listed } => Message::Ping { listed: *listed },
             Self::Pong { load } => Message::Pong { service: SERVICE, load: *load },
-            Self::Ended => Message::Ended,
+            Self::Ended => Message::TargetEnded,
         }
     }
 }
@@ -121,7 +123,7 @@
     }
 
     /// To whom packets went in `mode`.
-    pub fn carried(&self, mode: Mode) -> Vec<SocketAddrV4> {
+    pub fn carried(&self, mode: ForwardMode) -> Vec<SocketAddrV4> {
         let of = |m: &Sent| matches!(m, Sent::Carry { mode: x, .. } if *x == mode);
         self.peers.iter().filter(|(_, m, _)| of(m)).map(|(to, _, _)| *to).collect()
     }
@@ -137,20 +139,20 @@
     }
 }
 
-impl hold::Out for Wires {
-    fn target(&mut self, packet: &[u8]) {
+impl tracker::Transmit for Wires {
+    fn send_to_target(&mut self, packet: &[u8]) {
         self.target.push(packet.to_vec());
     }
 
-    fn caller(&mut self, _: SocketAddrV4, packet: &[u8]) {
+    fn send_to_caller(&mut self, _: SocketAddrV4, packet: &[u8]) {
         self.callers.push(packet.to_vec());
     }
 
-    fn reset(&mut self, flow: Flow, seq: u32) {
+    fn send_reset(&mut self, flow: Flow, seq: u32) {
         self.resets.push((flow, seq));
     }
 
-    fn peer(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+    fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         self.peers.push((to, Sent::of(message), packet.to_vec()));
     }
 }
@@ -167,7 +169,7 @@
 }
 
 pub fn flow(port: u16) -> Flow {
-    Flow { caller: caller(port), service: vip() }
+    Flow { caller: caller(port), vip: vip() }
 }
 
 pub fn agent(n: u8) -> SocketAddrV4 {
@@ -181,25 +183,25 @@
 /// A caller's packet that opens flow `port`.
 pub fn syn(port: u16) -> Segment {
     let flags = Flags { syn: true, ..Flags::default() };
-    Segment { from: caller(port), to: vip(), flags, seq: 1_000, ack: 0, len: 0 }
+    Segment { src: caller(port), dst: vip(), flags, seq: 1_000, ack: 0, len: 0 }
 }
 
 /// A caller's later packet with `len` bytes at `seq`, acknowledging `ack`.
 pub fn data(port: u16, seq: u32, ack: u32, len: u16) -> Segment {
     let flags = Flags { ack: true, ..Flags::default() };
-    Segment { from: caller(port), to: vip(), flags, seq, ack, len }
+    Segment { src: caller(port), dst: vip(), flags, seq, ack, len }
 }
 
 /// The packet of a target that agrees to open flow `port` at `seq`.
 pub fn syn_ack(port: u16, seq: u32) -> Segment {
     let flags = Flags { syn: true, ack: true, ..Flags::default() };
-    Segment { from: vip(), to: caller(port), flags, seq, ack: 1_001, len: 0 }
+    Segment { src: vip(), dst: caller(port), flags, seq, ack: 1_001, len: 0 }
 }
 
 /// A target's packet with `len` bytes.
 pub fn answer(port: u16, seq: u32, len: u16) -> Segment {
     let flags = Flags { ack: true, ..Flags::default() };
-    Segment { from: vip(), to: caller(port), flags, seq, ack: 1_101, len }
+    Segment { src: vip(), dst: caller(port), flags, seq, ack: 1_101, len }
 }
 
 /// `seg` as a target gives it back.
@@ -207,8 +209,15 @@
     Segment { flags: Flags { bounced: true, ..seg.flags }, ..seg }
 }
 
-pub fn report(id: &str, seq: u64, state: State) -> Report {
-    Report { start: id.into(), service: SERVICE.into(), slots: 5, state, cold: Duration::ZERO, seq }
+pub fn report(id: &str, seq: u64, state: TargetState) -> Report {
+    Report {
+        incarnation: id.into(),
+        service: SERVICE.into(),
+        slots: 5,
+        state,
+        warmup: Duration::ZERO,
+        seq,
+    }
 }
 
 pub fn routes(version: u64) -> Routes {
@@ -226,9 +235,9 @@
 }
 
 /// An agent whose target it saw start.
-pub fn holder(now: Instant) -> Holder {
-    let mut h = Holder::new(SERVICE.into(), Duration::from_secs(60));
-    assert!(h.report(report("i-1", 1, State::Ready), now));
+pub fn holder(now: Instant) -> FlowTracker {
+    let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    assert!(h.handle_report(report("i-1", 1, TargetState::Ready), now));
     h
 }
 
@@ -251,19 +260,19 @@
 
 /// The message of an open offered to `first` alone.
 pub fn open(first: SocketAddrV4, aged: bool) -> Open<'static> {
-    let offer = Offer { first, second: None, stage: jujubepost::wire::Stage::Take };
-    Open { service: SERVICE, max_flows: 2_000, aged, offer, reply: balancer() }
+    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Take };
+    Open { service: SERVICE, max_flows: 2_000, aged, offer, reply_to: balancer() }
 }
 
 /// Has `h` open flow `port`, its target answering with `seq`.
-pub fn opened(h: &mut Holder, port: u16, seq: u32, now: Instant) -> Wires {
+pub fn opened(h: &mut FlowTracker, port: u16, seq: u32, now: Instant) -> Wires {
     let mut w = Wires::default();
     let m = Message::Open(open(agent(1), false));
-    h.message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
-    h.target_packet(&syn_ack(port, seq), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
-    h.message(
+    h.handle_message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
+    h.handle_target_packet(&syn_ack(port, seq), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
+    h.handle_message(
         balancer(),
-        &Message::Carry { service: SERVICE, mode: Mode::Owner },
+        &Message::Forward { service: SERVICE, mode: ForwardMode::Owner },
         Some(&data(port, 1_001, seq + 1, 0)),
         b"ack",
         now,
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -3,34 +3,34 @@
 
 use std::time::{Duration, Instant};
 
-use jujubepost::stream::{Reorder, Window};
+use jujubepost::stream::{ReorderBuffer, SendWindow};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const RTO: Duration = Duration::from_millis(200);
 
 #[test]
 fn doubled_taken_once() {
-    let mut r = Reorder::new(1);
+    let mut r = ReorderBuffer::new(1);
     r.insert(1, 'a');
     r.insert(1, 'b');
     assert_eq!(r.pop(), Some('a'));
     r.insert(1, 'c');
     assert_eq!(r.pop(), None);
-    assert_eq!(r.next(), 2);
+    assert_eq!(r.next_seq(), 2);
 }
 
 #[test]
 fn resend_backs_off() {
     let t0 = Instant::now();
-    let mut w = Window::new(RTO, t0);
+    let mut w = SendWindow::new(RTO, t0);
     w.push(1, 'a', t0);
     assert_eq!(w.resend(t0).count(), 0);
     assert_eq!(w.resend(t0 + RTO).count(), 1);
-    assert_eq!(w.due(), Some(t0 + RTO * 3));
-    assert_eq!(w.stalled(t0 + RTO), RTO);
+    assert_eq!(w.next_resend(), Some(t0 + RTO * 3));
+    assert_eq!(w.stalled_for(t0 + RTO), RTO);
     w.ack(2, t0 + RTO);
     assert!(w.is_empty());
-    assert_eq!((w.due(), w.stalled(t0 + RTO * 9)), (None, Duration::ZERO));
+    assert_eq!((w.next_resend(), w.stalled_for(t0 + RTO * 9)), (None, Duration::ZERO));
 }
 
 /// Of a packet and its acknowledgement one is lost in a tenth of the tries, where
@@ -40,10 +40,10 @@
 #[test]
 fn tried_often() {
     let start = Instant::now();
-    let mut w = Window::new(Duration::from_millis(200), start);
+    let mut w = SendWindow::new(Duration::from_millis(200), start);
     w.push(1, "a", start);
     let mut copies = 1;
-    while let Some(due) = w.due().filter(|at| *at < start + Duration::from_secs(3)) {
+    while let Some(due) = w.next_resend().filter(|at| *at < start + Duration::from_secs(3)) {
         copies += w.resend(due).count();
     }
     assert!(copies >= 8, "{copies}");
@@ -54,7 +54,7 @@
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = Instant::now();
-        let (mut w, mut r) = (Window::new(RTO, now), Reorder::new(1));
+        let (mut w, mut r) = (SendWindow::new(RTO, now), ReorderBuffer::new(1));
         let mut wire: Vec<(u32, u32)> = Vec::new();
         let (mut sent, mut got) = (0, Vec::new());
         while got.len() < 300 {
@@ -80,7 +80,7 @@
                 got.push(piece);
             }
             if rng.random_range(0..3) > 0 {
-                w.ack(r.next(), now);
+                w.ack(r.next_seq(), now);
             }
         }
         assert!(got.iter().copied().eq(1..=300), "seed {seed}");
