--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use jujubepost::edge::Reader;
+use jujubepost::edge::SnapshotReader;
 use jujubepost::platform::config;
 use jujubepost::relay::Relay;
 use jujubepost::steer::{Announced, Steer};
@@ -62,7 +62,7 @@
     let relay = Relay::new(config::KEY, "zone-1", [10, 9, 0, 1].into(), 1);
     let mut routes = config::decode(&config.value).unwrap();
     let mut steer = steer();
-    let mut reader = Reader::default();
+    let mut reader = SnapshotReader::default();
     let mut copy = Snapshot::default();
     copy.apply(1, vec![Change::Put(config.clone())]);
     let mut last = (0, 0, Duration::ZERO);
@@ -70,7 +70,7 @@
         routes.version += 1;
         let route = routes.routes.values_mut().next().unwrap();
         route.limit = Duration::from_millis(1_000 + u64::try_from(rev).unwrap());
-        let put = relay.due(&copy, &routes).unwrap().unwrap().put;
+        let put = relay.pending_transaction(&copy, &routes).unwrap().unwrap().puts;
         let bytes = put.iter().map(|(_, value)| value.len().div_ceil(3) * 4).sum();
         let keys = put.len();
         let put = put
@@ -105,7 +105,7 @@
         copy.apply(1, vec![Change::Put(first)]);
         copy.apply(2, (0..agents).map(|n| Change::Put(agent(n, routes, 2))).collect());
         let mut steer = steer();
-        let mut reader = Reader::default();
+        let mut reader = SnapshotReader::default();
         let at_first = time(|| reader.apply_snapshot(&mut steer, &copy));
         let mut kept = Arc::new(copy.clone());
         let taken = rss_kib().saturating_sub(before);
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -38,7 +38,7 @@
             zone: "gjw-a".into(),
             service: service(i),
             agent: SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 7_500)),
-            leaving: false,
+            stopping: false,
         };
         insert(&mut copy, keys.target(&rec.name), serde_json::to_vec(&rec).unwrap());
     }
@@ -52,7 +52,7 @@
             max_flows: 2_000,
             policy: Policy::Least,
         };
-        let value = serde_json::to_vec(&record::Profile { spec, writer: 1 }).unwrap();
+        let value = serde_json::to_vec(&record::Profile { spec, write_id: 1 }).unwrap();
         insert(&mut copy, keys.profile(&name), value);
     }
     copy
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -114,7 +114,7 @@
         zone: me.zone.clone(),
         service: me.service,
         agent: me.agent,
-        leaving,
+        stopping: leaving,
     };
     serde_json::to_vec(&rec).context("agent: encoding its announcement")
 }
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -214,7 +214,7 @@
         metrics::refused(reason);
         log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_REFUSE, p.flow);
         let owner = Owner::new(v4(self.me.agent), 0);
-        self.reply(p, owner, Answer::Refuse { body: refusal::page(reason) });
+        self.reply(p, owner, Answer::Refuse { body: refusal::response(reason) });
     }
 
     fn start(&mut self, p: Packet, offer: Offer) {
@@ -273,7 +273,7 @@
         Step::Take | Step::Refuse(_) => {
             let reason = Refusal::Unreachable;
             metrics::refused(reason);
-            spec.send(sock, Answer::Refuse { body: refusal::page(reason) }).await;
+            spec.send(sock, Answer::Refuse { body: refusal::response(reason) }).await;
         }
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -174,7 +174,7 @@
     if p.kind != Kind::Open || p.seq == 0 || !hopeless {
         return Ok(());
     }
-    let answer = Answer::Refuse { body: refusal::page(reason) };
+    let answer = Answer::Refuse { body: refusal::response(reason) };
     let reply = Reply { flow: p.flow, port: p.port, owner: Owner::NONE, answer };
     let Ok(bytes) = wire::encode(&reply) else { return Ok(()) };
     sock.send_to(&bytes, p.reply).await.map(drop)
--- a/src/balancer/roster.rs
+++ b/src/balancer/roster.rs
@@ -67,7 +67,7 @@
     /// Targets of `service` that may get new flows, drains not considered.
     pub fn serving(&self, service: Service, now: Instant) -> impl Iterator<Item = &Target> {
         let used = move |s: &&Seen| s.gone.is_none_or(|at| s.together && self.fresh(at, now));
-        self.of(service).filter(used).map(|s| &s.target).filter(|t| !t.leaving)
+        self.of(service).filter(used).map(|s| &s.target).filter(|t| !t.stopping)
     }
 
     /// Targets of `service` whose agents may own established flows.
@@ -115,5 +115,5 @@
 /// Whether a target went missing less than `hold` ago, without having said
 /// that it was leaving.
 fn lately(s: &Seen, hold: Duration, now: Instant) -> bool {
-    !s.target.leaving && s.gone.is_some_and(|at| now.duration_since(at) < hold)
+    !s.target.stopping && s.gone.is_some_and(|at| now.duration_since(at) < hold)
 }
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -260,7 +260,7 @@
     rev: i64,
 ) -> anyhow::Result<Outcome> {
     let key = keys.profile(&spec.name);
-    let rec = record::Profile { spec: spec.clone(), writer: rand::random() };
+    let rec = record::Profile { spec: spec.clone(), write_id: rand::random() };
     let value = serde_json::to_vec(&rec)?;
     let outcome = match store.swap(&key, &value, rev).await {
         Ok(true) => Outcome::Written,
@@ -273,7 +273,7 @@
                 .with_context(|| format!("ctl: confirming {key} after: {e:#}"))?;
             let mine = now
                 .and_then(|kv| serde_json::from_slice::<record::Profile>(&kv.value).ok())
-                .is_some_and(|p| p.writer == rec.writer);
+                .is_some_and(|p| p.write_id == rec.write_id);
             if mine { Outcome::Written } else { Outcome::Conflict }
         }
     };
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 use super::inspect::{self, Inspect};
-use super::listing::Reader;
+use super::listing::SnapshotReader;
 use super::socket::Socket;
 use super::{Settings, pause, relay, store};
 use crate::admin::{self, Board};
@@ -76,15 +76,15 @@
     let settings = Settings::load(path)?;
     let wires = Wires {
         packets: Socket::bind(settings.packets, "callers' packets").await?,
-        bus: Socket::bind(settings.bus(), "agents").await?,
+        bus: Socket::bind(settings.bus_addr(), "agents").await?,
     };
     let board = Board::new(settings.name.clone(), platform::config::PREFIX.into());
-    let desk = admin::Server::start(settings.bus().into(), board.clone()).await?;
+    let desk = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
     let ready = match settings.ready {
         Some(addr) => Some(readiness(addr, board.clone()).await?),
         None => None,
     };
-    let steer = Steer::new(settings.bus(), settings.zone.clone(), settings.flow_life())
+    let steer = Steer::new(settings.bus_addr(), settings.zone.clone(), settings.flow_lifetime())
         .policy(settings.steering());
     let steer = Rc::new(RefCell::new(steer));
     let inspect = inspect::serve(&settings, steer.clone()).await?;
@@ -103,7 +103,7 @@
     );
     steer.borrow_mut().stop();
     board.set_ready(false);
-    let linger = LINGER.min(settings.grace() / 2);
+    let linger = LINGER.min(settings.stop_grace() / 2);
     let _ = tokio::time::timeout(linger, forward(&wires, &steer, port, &board, &refresh)).await;
     follower.abort();
     let _ = follower.await;
@@ -123,20 +123,21 @@
     let source = Source {
         store: store(settings).await?,
         prefix: String::new(),
-        peers: settings.peers(),
+        peers: settings.peer_addrs(),
         ask: mirror::Ask::Always,
         gather: GATHER,
         refresh,
     };
-    let relay = Relay::new(platform::config::KEY, &settings.zone, settings.ip, settings.large());
+    let relay =
+        Relay::new(platform::config::KEY, &settings.zone, settings.ip, settings.relay_min_bytes());
     let (tell, copies) = watch::channel(None);
     let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), copies);
     let (view, seen) = (steer.clone(), board.clone());
     Ok(tokio::task::spawn_local(async move {
         let mut lost = false;
-        let mut reader = Reader::default();
+        let mut reader = SnapshotReader::default();
         let scope = |copy: &Snapshot| {
-            let scope = relay.scope(copy, view.borrow().version());
+            let scope = relay.narrow_prefix(copy, view.borrow().version());
             metrics::state("follows_parts", scope.is_some().into());
             scope
         };
--- a/src/edge/listing.rs
+++ b/src/edge/listing.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::AGENTS;
+use super::AGENT_PREFIX;
 use crate::relay::{self, Part};
 use crate::steer::{Announced, Routes, Steer};
 use crate::store::{Kv, Snapshot};
@@ -15,14 +15,14 @@
 
 /// What was read so far, by revision.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct SnapshotReader {
     config: i64,
     index: i64,
     parts: BTreeMap<Arc<str>, (i64, Part)>,
     agents: BTreeMap<Arc<str>, (i64, Option<Announced>)>,
 }
 
-impl Reader {
+impl SnapshotReader {
     /// Applies what the store's keys say now to `steer`.
     pub fn apply_snapshot(&mut self, steer: &mut Steer, copy: &Snapshot) {
         if let Some(kv) = copy.keys.get(platform::config::KEY)
@@ -47,7 +47,8 @@
 
     /// Applies a configuration that a relay published in parts, if it is newer.
     fn read_parts(&mut self, steer: &mut Steer, copy: &Snapshot) {
-        let Some((index, rev)) = relay::index(copy).filter(|(_, rev)| *rev != self.index) else {
+        let Some((index, rev)) = relay::read_index(copy).filter(|(_, rev)| *rev != self.index)
+        else {
             return;
         };
         if steer.version() >= Some(index.version) {
@@ -56,7 +57,7 @@
         }
         // The parts of a listing may be older than its index; the watch after
         // it brings the rest.
-        let Some(kvs) = relay::whole(copy, &index) else { return };
+        let Some(kvs) = relay::consistent_parts(copy, &index) else { return };
         let mut parts = BTreeMap::new();
         let mut read = 0;
         for kv in kvs {
@@ -87,9 +88,9 @@
         let before = self.agents.len();
         self.agents.retain(|key, _| copy.keys.contains_key(key));
         let mut changed = self.agents.len() != before;
-        let from = (Bound::Included(AGENTS), Bound::Unbounded);
+        let from = (Bound::Included(AGENT_PREFIX), Bound::Unbounded);
         for (key, kv) in copy.keys.range::<str, _>(from) {
-            if !key.starts_with(AGENTS) {
+            if !key.starts_with(AGENT_PREFIX) {
                 break;
             }
             if self.agents.get(key).is_none_or(|(rev, _)| *rev != kv.rev) {
@@ -105,7 +106,9 @@
 /// than its key, names no agent; the others hold.
 fn announced(kv: &Kv) -> Option<Announced> {
     let (reason, error) = match serde_json::from_slice::<Announced>(&kv.value) {
-        Ok(a) if kv.key.strip_prefix(AGENTS) == Some(&a.addr.ip().to_string()) => return Some(a),
+        Ok(a) if kv.key.strip_prefix(AGENT_PREFIX) == Some(&a.addr.ip().to_string()) => {
+            return Some(a);
+        }
         Ok(a) => ("entry_of_other_vm", format!("names {}", a.addr)),
         Err(e) => ("entry_unreadable", e.to_string()),
     };
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -19,15 +19,15 @@
 use std::time::Duration;
 
 use anyhow::Context;
-pub use listing::Reader;
-pub use settings::{Bounds, Settings};
+pub use listing::SnapshotReader;
+pub use settings::{Settings, TimeLimits};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::listen::Server;
 use crate::{events, metrics, platform};
 
 /// Prefix of the agents' entries in the store.
-pub const AGENTS: &str = "jujubepost/agents/";
+pub const AGENT_PREFIX: &str = "jujubepost/agents/";
 
 /// Timeout of one call to the store. It answers in milliseconds; a call that
 /// was lost is made again within the second that a change may take.
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -11,7 +11,7 @@
 
 use crate::events;
 use crate::platform::kv::Client;
-use crate::relay::{INDEX, Relay};
+use crate::relay::{INDEX_KEY, Relay};
 use crate::steer::Steer;
 use crate::store::{Lessor, Snapshot, lease};
 
@@ -38,7 +38,8 @@
     let mut holder = JoinSet::new();
     loop {
         let copy = copies.borrow_and_update().clone();
-        let wanted = |copy: &Option<Arc<Snapshot>>| copy.as_ref().is_some_and(|c| relay.wanted(c));
+        let wanted =
+            |copy: &Option<Arc<Snapshot>>| copy.as_ref().is_some_and(|c| relay.should_relay(c));
         if wanted(&copy) && holder.is_empty() {
             tokio::time::sleep(CAMPAIGN.mul_f64(rand::random())).await;
             if wanted(&copies.borrow()) {
@@ -92,14 +93,14 @@
     copy: &Snapshot,
 ) -> anyhow::Result<()> {
     let (due, version) = match steer.borrow().routes() {
-        Some(routes) => (relay.due(copy, routes)?, routes.version),
+        Some(routes) => (relay.pending_transaction(copy, routes)?, routes.version),
         None => return Ok(()),
     };
     let Some(writes) = due else { return Ok(()) };
-    let first = store.swap((INDEX, writes.index), &writes.put, &writes.remove).await?;
+    let first = store.swap((INDEX_KEY, writes.index_rev), &writes.puts, &writes.deletes).await?;
     log::info!(
-        event = events::EDGE_RELAY, version = version, parts = writes.put.len(),
-        removed = writes.remove.len(), first = first;
+        event = events::EDGE_RELAY, version = version, parts = writes.puts.len(),
+        removed = writes.deletes.len(), first = first;
         "configuration published in parts"
     );
     Ok(())
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -56,7 +56,7 @@
     /// The VM's link, in Mbit/s.
     pub link_mbps: f64,
     /// The platform's time bounds.
-    pub bounds: Bounds,
+    pub bounds: TimeLimits,
     /// What decides under load and trouble.
     pub policy: Policy,
 }
@@ -64,7 +64,7 @@
 /// The platform's time bounds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Bounds {
+pub struct TimeLimits {
     /// Longest planned stop, in seconds.
     pub grace_s: f64,
     /// Longest life of a flow, in seconds.
@@ -92,12 +92,12 @@
             cpu_share: 1.0,
             link_mbps: 1_000.0,
             policy: Policy::default(),
-            bounds: Bounds::default(),
+            bounds: TimeLimits::default(),
         }
     }
 }
 
-impl Default for Bounds {
+impl Default for TimeLimits {
     fn default() -> Self {
         Self { grace_s: 6.0, flow_s: 60.0 }
     }
@@ -150,27 +150,27 @@
 
     /// Where this process takes what the system's other processes say.
     #[must_use]
-    pub const fn bus(&self) -> SocketAddrV4 {
+    pub const fn bus_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.ports.0)
     }
 
     /// Where the seeds, but for this process, hand over their copies of the
     /// store's keys.
     #[must_use]
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn peer_addrs(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().map(SocketAddr::ip).filter(|ip| *ip != IpAddr::V4(self.ip));
         others.map(|ip| SocketAddr::new(ip, self.ports.0)).collect()
     }
 
     /// How long a flow without packets is remembered.
     #[must_use]
-    pub fn flow_life(&self) -> Duration {
+    pub fn flow_lifetime(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.flow_s)
     }
 
     /// From how many bytes on the configuration is handed on in parts.
     #[must_use]
-    pub const fn large(&self) -> usize {
+    pub const fn relay_min_bytes(&self) -> usize {
         self.relay_kib * 1_024
     }
 
@@ -182,7 +182,7 @@
 
     /// Longest planned stop.
     #[must_use]
-    pub fn grace(&self) -> Duration {
+    pub fn stop_grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s)
     }
 }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -16,7 +16,7 @@
 use super::inspect::{self, Inspect};
 use super::port::{self, Port};
 use super::socket::Socket;
-use super::{AGENTS, Settings, pause, reports, store};
+use super::{AGENT_PREFIX, Settings, pause, reports, store};
 use crate::bus::{self, Message};
 use crate::flow::Flow;
 use crate::hold::{self, Holder, Target};
@@ -61,7 +61,7 @@
     async fn bind(settings: &Settings) -> anyhow::Result<Self> {
         let outbound = settings.outbound.with_context(missing("outbound"))?;
         Ok(Self {
-            bus: Socket::bind(settings.bus(), "balancers and agents").await?,
+            bus: Socket::bind(settings.bus_addr(), "balancers and agents").await?,
             outbound: Socket::bind(outbound, "the target's packets").await?,
             target: settings.target.with_context(missing("target"))?,
             port: settings.packets.port(),
@@ -103,7 +103,7 @@
     let service = settings.service.clone().with_context(missing("service"))?;
     let wires = Wires::bind(&settings).await?;
     let holder =
-        Holder::new(service.clone(), settings.flow_life()).policy(settings.policy.hold.clone());
+        Holder::new(service.clone(), settings.flow_lifetime()).policy(settings.policy.hold.clone());
     let holder = Rc::new(RefCell::new(holder));
     let inspect = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
@@ -112,13 +112,14 @@
         "agent started"
     );
     let store = store(&settings).await?;
-    let key = format!("{AGENTS}{}", settings.ip);
+    let key = format!("{AGENT_PREFIX}{}", settings.ip);
     match earlier(&store, &key).await {
         Earlier::Unknown => {}
         Earlier::None => holder.borrow_mut().mark_new(),
         Earlier::Listed(target) => holder.borrow_mut().follows(target, Instant::now()),
     }
-    let me = Announced { addr: settings.bus(), zone: settings.zone.clone(), service, target: None };
+    let me =
+        Announced { addr: settings.bus_addr(), zone: settings.zone.clone(), service, target: None };
     let (value, values) = watch::channel(serde_json::to_vec(&me)?);
     let target = wires.target;
     let entry = Rc::new(Entry { me, target, value, check: Rc::new(Notify::new()) });
@@ -140,7 +141,7 @@
     announcer.abort();
     let _ = announcer.await;
     holder.borrow_mut().stop();
-    let most = settings.grace().mul_f64(STOP_PART);
+    let most = settings.stop_grace().mul_f64(STOP_PART);
     let last = async {
         if ended {
             withdraw(&store, &key, most.saturating_sub(STAY)).await;
@@ -156,7 +157,9 @@
     }
     if !ended {
         let mut buf = Vec::with_capacity(bus::DATAGRAM);
-        holder.borrow().hand_over(settings.bus(), &mut Sender { wires: &wires, buf: &mut buf });
+        holder
+            .borrow()
+            .hand_over(settings.bus_addr(), &mut Sender { wires: &wires, buf: &mut buf });
     }
     desk.stop().await;
     super::finish(inspect, ready).await;
--- a/src/fabric/carry.rs
+++ b/src/fabric/carry.rs
@@ -54,7 +54,7 @@
                 link.flow,
                 link.port
             );
-            refuse(caller, &refusal::page(Refusal::OpenTimeout)).await;
+            refuse(caller, &refusal::response(Refusal::OpenTimeout)).await;
         }
     }
 }
--- a/src/record/mod.rs
+++ b/src/record/mod.rs
@@ -15,7 +15,8 @@
     pub spec: ProfileSettings,
     /// Random identifier of the write, so that a writer whose answer was
     /// lost can tell whether its own write took effect.
-    pub writer: u64,
+    #[serde(rename = "writer")]
+    pub write_id: u64,
 }
 
 /// A target's announcement, written by its agent under a lease.
@@ -31,8 +32,8 @@
     pub agent: SocketAddr,
     /// Its agent is on a planned stop: no new flows, and no hold when the
     /// announcement goes.
-    #[serde(default)]
-    pub leaving: bool,
+    #[serde(default, rename = "leaving")]
+    pub stopping: bool,
 }
 
 /// A drain order, written by an operator.
--- a/src/refusal/mod.rs
+++ b/src/refusal/mod.rs
@@ -8,7 +8,7 @@
 
 /// HTTP 503 with the reason and a time to come back.
 #[must_use]
-pub fn page(reason: Refusal) -> Vec<u8> {
+pub fn response(reason: Refusal) -> Vec<u8> {
     format!(
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {RETRY_AFTER_S}\r\n\
          X-Jujubepost-Refused: {reason}\r\nX-Jujubepost-Run: no\r\n\
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -22,17 +22,17 @@
 use std::sync::Arc;
 
 use anyhow::Context;
-pub use parts::{Index, PARTS, Part};
+pub use parts::{Index, PART_COUNT, Part};
 
 use crate::steer::Routes;
 use crate::store::{Kv, Snapshot};
 
 /// Prefix of what the system writes itself: enough to follow while a relay
 /// hands the configuration on.
-pub const OWN: &str = "jujubepost/";
+pub const SYSTEM_PREFIX: &str = "jujubepost/";
 
 /// Key of the parts' index.
-pub const INDEX: &str = "jujubepost/config/index";
+pub const INDEX_KEY: &str = "jujubepost/config/index";
 
 /// Prefix of the parts' keys.
 const PART: &str = "jujubepost/config/part-";
@@ -49,13 +49,13 @@
 /// Keys to write and to remove at once, if the index still has the revision
 /// `index` (0: is not there).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Writes {
+pub struct Transaction {
     /// The index's revision as last seen.
-    pub index: i64,
+    pub index_rev: i64,
     /// Keys with their new values.
-    pub put: Vec<(String, Vec<u8>)>,
+    pub puts: Vec<(String, Vec<u8>)>,
     /// Keys that go.
-    pub remove: Vec<String>,
+    pub deletes: Vec<String>,
 }
 
 /// One balancer's part in handing the configuration on.
@@ -96,14 +96,14 @@
     /// Whether this balancer should be its data centre's relay: none is listed,
     /// or it is the first that is.
     #[must_use]
-    pub fn wanted(&self, copy: &Snapshot) -> bool {
+    pub fn should_relay(&self, copy: &Snapshot) -> bool {
         let first = under(copy, &self.zone).next();
         self.large(copy) && first.is_none_or(|kv| kv.key == self.key)
     }
 
     /// Whether its own key is listed.
     #[must_use]
-    pub fn listed(&self, copy: &Snapshot) -> bool {
+    pub fn has_key(&self, copy: &Snapshot) -> bool {
         copy.keys.contains_key(&self.key)
     }
 
@@ -111,12 +111,12 @@
     /// of this data centre is listed, is another balancer, and the parts are no
     /// older than the configuration `version` in force here.
     #[must_use]
-    pub fn scope(&self, copy: &Snapshot, version: Option<u64>) -> Option<&'static str> {
-        if !self.large(copy) || self.wanted(copy) || self.listed(copy) {
+    pub fn narrow_prefix(&self, copy: &Snapshot, version: Option<u64>) -> Option<&'static str> {
+        if !self.large(copy) || self.should_relay(copy) || self.has_key(copy) {
             return None;
         }
-        let handed = index(copy)?.0.version;
-        (version <= Some(handed)).then_some(OWN)
+        let handed = read_index(copy)?.0.version;
+        (version <= Some(handed)).then_some(SYSTEM_PREFIX)
     }
 
     /// What a balancer that follows everything writes to hand on `routes`, the
@@ -125,13 +125,20 @@
     /// # Errors
     ///
     /// Fails when a part or the index cannot be encoded.
-    pub fn due(&self, copy: &Snapshot, routes: &Routes) -> anyhow::Result<Option<Writes>> {
-        let before = index(copy);
+    pub fn pending_transaction(
+        &self,
+        copy: &Snapshot,
+        routes: &Routes,
+    ) -> anyhow::Result<Option<Transaction>> {
+        let before = read_index(copy);
         if !self.large(copy) {
-            let gone = |(_, rev)| Writes { index: rev, put: Vec::new(), remove: all_keys() };
+            let gone =
+                |(_, rev)| Transaction { index_rev: rev, puts: Vec::new(), deletes: all_keys() };
             return Ok(before.map(gone));
         }
-        if !self.wanted(copy) || before.as_ref().is_some_and(|(i, _)| i.version >= routes.version) {
+        if !self.should_relay(copy)
+            || before.as_ref().is_some_and(|(i, _)| i.version >= routes.version)
+        {
             return Ok(None);
         }
         let (next, values) = parts::split(routes).context("cutting the configuration")?;
@@ -139,21 +146,21 @@
         let mut put: Vec<(String, Vec<u8>)> = values
             .into_iter()
             .enumerate()
-            .filter(|(n, _)| old.sums.get(*n) != next.sums.get(*n))
+            .filter(|(n, _)| old.checksums.get(*n) != next.checksums.get(*n))
             .map(|(n, value)| (part_key(n), value))
             .collect();
-        put.push((INDEX.to_string(), serde_json::to_vec(&next)?));
-        Ok(Some(Writes { index: rev, put, remove: Vec::new() }))
+        put.push((INDEX_KEY.to_string(), serde_json::to_vec(&next)?));
+        Ok(Some(Transaction { index_rev: rev, puts: put, deletes: Vec::new() }))
     }
 }
 
 /// The parts' index in a copy of the store's keys, with its revision.
 #[must_use]
-pub fn index(copy: &Snapshot) -> Option<(Index, i64)> {
-    let kv = copy.keys.get(INDEX)?;
+pub fn read_index(copy: &Snapshot) -> Option<(Index, i64)> {
+    let kv = copy.keys.get(INDEX_KEY)?;
     let read = serde_json::from_slice(&kv.value).inspect_err(|e| {
         crate::metrics::dropped("index_unreadable");
-        log::error!(event = crate::events::EDGE_CONFIG, key = INDEX, error:% = e; "index refused");
+        log::error!(event = crate::events::EDGE_CONFIG, key = INDEX_KEY, error:% = e; "index refused");
     });
     read.ok().map(|index| (index, kv.rev))
 }
@@ -161,12 +168,12 @@
 /// The values of all parts, in order, if they are those that `index` names:
 /// pages of a listing are no snapshot, and may mix two versions.
 #[must_use]
-pub fn whole<'a>(copy: &'a Snapshot, index: &Index) -> Option<Vec<&'a Kv>> {
+pub fn consistent_parts<'a>(copy: &'a Snapshot, index: &Index) -> Option<Vec<&'a Kv>> {
     let part = |(n, sum): (usize, &u64)| {
         let kv = copy.keys.get(part_key(n).as_str())?;
-        (parts::sum(&kv.value) == *sum).then_some(kv)
+        (parts::checksum(&kv.value) == *sum).then_some(kv)
     };
-    index.sums.iter().enumerate().map(part).collect()
+    index.checksums.iter().enumerate().map(part).collect()
 }
 
 fn under<'a>(copy: &'a Snapshot, prefix: &'a str) -> impl Iterator<Item = &'a Kv> {
@@ -175,5 +182,5 @@
 }
 
 fn all_keys() -> Vec<String> {
-    (0..PARTS).map(part_key).chain([INDEX.to_string()]).collect()
+    (0..PART_COUNT).map(part_key).chain([INDEX_KEY.to_string()]).collect()
 }
--- a/src/relay/parts.rs
+++ b/src/relay/parts.rs
@@ -13,7 +13,7 @@
 /// Parts of a configuration. All of them, their index and one condition fit
 /// the 32 entries that the store takes in one transaction; at 2,200 routes a
 /// part has 92 of them, 6 KB.
-pub const PARTS: usize = 24;
+pub const PART_COUNT: usize = 24;
 
 /// What the parts in the store add up to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,8 @@
     /// A flow without packets for this long, in milliseconds, may be forgotten.
     pub idle_ms: u64,
     /// Checksum of each part's value.
-    pub sums: Vec<u64>,
+    #[serde(rename = "sums")]
+    pub checksums: Vec<u64>,
 }
 
 /// One part: routes by the address that callers call, in order.
@@ -31,7 +32,7 @@
 
 /// The checksum of a part's value.
 #[must_use]
-pub fn sum(value: &[u8]) -> u64 {
+pub fn checksum(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
 
@@ -41,18 +42,18 @@
 ///
 /// Fails when a part cannot be encoded.
 pub fn split(routes: &Routes) -> postcard::Result<(Index, Vec<Vec<u8>>)> {
-    let mut parts: Vec<Part> = vec![Part::new(); PARTS];
+    let mut parts: Vec<Part> = vec![Part::new(); PART_COUNT];
     for (addr, route) in &routes.routes {
         parts[place(*addr)].push((*addr, route.clone()));
     }
-    let mut values = Vec::with_capacity(PARTS);
+    let mut values = Vec::with_capacity(PART_COUNT);
     for mut part in parts {
         part.sort_unstable_by_key(|(addr, _)| *addr);
         values.push(postcard::to_stdvec(&part)?);
     }
     let idle_ms = u64::try_from(routes.idle.as_millis()).unwrap_or(u64::MAX);
-    let sums = values.iter().map(|v| sum(v)).collect();
-    Ok((Index { version: routes.version, idle_ms, sums }, values))
+    let sums = values.iter().map(|v| checksum(v)).collect();
+    Ok((Index { version: routes.version, idle_ms, checksums: sums }, values))
 }
 
 /// Reads a part's value.
@@ -76,5 +77,5 @@
     bytes[..4].copy_from_slice(&addr.ip().octets());
     bytes[4..].copy_from_slice(&addr.port().to_be_bytes());
     // Below PARTS, so the cast keeps the value.
-    (xxh3_64(&bytes) % PARTS as u64) as usize
+    (xxh3_64(&bytes) % PART_COUNT as u64) as usize
 }
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -9,7 +9,7 @@
 
 use common::wires::*;
 use jujubepost::bus;
-use jujubepost::edge::{AGENTS, Reader};
+use jujubepost::edge::{AGENT_PREFIX, SnapshotReader};
 use jujubepost::hold::{Holder, State};
 use jujubepost::platform::report::{self, Call};
 use jujubepost::platform::{config, packet};
@@ -76,7 +76,12 @@
 
 fn entry(n: u8) -> Kv {
     let value = serde_json::to_vec(&announced(n)).unwrap();
-    Kv { key: format!("{AGENTS}{}", agent(n).ip()).into(), value, rev: i64::from(n), lease: 1 }
+    Kv {
+        key: format!("{AGENT_PREFIX}{}", agent(n).ip()).into(),
+        value,
+        rev: i64::from(n),
+        lease: 1,
+    }
 }
 
 fn snapshot(kvs: impl IntoIterator<Item = Kv>) -> Snapshot {
@@ -117,9 +122,9 @@
         any_json().prop_map(|v| serde_json::to_vec(&v).unwrap()),
     ], name in "[a-z0-9./]{0,16}") {
         let mut s = steer(0, Instant::now());
-        let mut reader = Reader::default();
-        let foreign = Kv { key: format!("{AGENTS}{name}").into(), value: value.clone(), rev: 9, lease: 0 };
-        let bad: Kv = Kv { key: Arc::from(relay::INDEX), value, rev: 10, lease: 0 };
+        let mut reader = SnapshotReader::default();
+        let foreign = Kv { key: format!("{AGENT_PREFIX}{name}").into(), value: value.clone(), rev: 9, lease: 0 };
+        let bad: Kv = Kv { key: Arc::from(relay::INDEX_KEY), value, rev: 10, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([foreign, bad, entry(1), entry(2)]));
         prop_assert_eq!(s.roster.of(SERVICE).count(), 2);
         prop_assert_eq!(s.version(), Some(1));
@@ -129,7 +134,7 @@
     #[test]
     fn config_kept(value in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut s = steer(1, Instant::now());
-        let mut reader = Reader::default();
+        let mut reader = SnapshotReader::default();
         let kv = Kv { key: config::KEY.into(), value, rev: 3, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([kv, entry(1)]));
         prop_assert_eq!(s.version(), Some(1));
@@ -153,6 +158,6 @@
     let mut s = steer(0, Instant::now());
     let mut lie = entry(1);
     lie.value = entry(2).value;
-    Reader::default().apply_snapshot(&mut s, &snapshot([lie, entry(3)]));
+    SnapshotReader::default().apply_snapshot(&mut s, &snapshot([lie, entry(3)]));
     assert_eq!(s.roster.of(SERVICE).collect::<Vec<_>>(), [agent(3)]);
 }
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -31,7 +31,7 @@
             max_flows: 10,
             policy: Policy::Hash,
         };
-        let value = serde_json::to_vec(&record::Profile { spec, writer: 1 }).unwrap();
+        let value = serde_json::to_vec(&record::Profile { spec, write_id: 1 }).unwrap();
         copy.extend([kv(keys.profile(name), value)]);
     }
     for (name, service, port) in
@@ -42,7 +42,7 @@
             zone: "gjw-a".into(),
             service,
             agent: SocketAddr::from(([127, 0, 0, 1], port)),
-            leaving: false,
+            stopping: false,
         };
         copy.extend([kv(keys.target(name), serde_json::to_vec(&rec).unwrap())]);
     }
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -5,7 +5,7 @@
 
 use jujubepost::agent::{Admit, admit};
 use jujubepost::metrics::Refusal;
-use jujubepost::refusal::{RETRY_AFTER_S, page};
+use jujubepost::refusal::{RETRY_AFTER_S, response};
 
 const GRACE: Duration = Duration::from_secs(2);
 
@@ -28,7 +28,7 @@
 
 #[test]
 fn refusal_says_come_back() {
-    let text = String::from_utf8(page(Refusal::Full)).unwrap();
+    let text = String::from_utf8(response(Refusal::Full)).unwrap();
     assert!(text.starts_with("HTTP/1.1 503 "));
     assert!(text.contains(&format!("Retry-After: {RETRY_AFTER_S}\r\n")));
     assert!(text.contains("X-Jujubepost-Run: no\r\n"));
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use jujubepost::edge::Reader;
+use jujubepost::edge::SnapshotReader;
 use jujubepost::platform::config;
 use jujubepost::relay::parts::{decode, join, split};
-use jujubepost::relay::{self, INDEX, OWN, PARTS, Relay, part_key};
+use jujubepost::relay::{self, INDEX_KEY, PART_COUNT, Relay, SYSTEM_PREFIX, part_key};
 use jujubepost::steer::{Route, Routes, Share, Steer};
 use jujubepost::store::mirror::{Ask, News, Source, follow};
 use jujubepost::store::{Batch, Change, Keeper, Kv, Snapshot};
@@ -50,9 +50,9 @@
 
 /// Writes what `relay` has due for `routes`; returns the number of keys.
 fn publish(copy: &mut Snapshot, relay: &Relay, routes: &Routes) -> usize {
-    let writes = relay.due(copy, routes).unwrap().unwrap_or_default();
-    let n = writes.put.len();
-    writes.put.into_iter().for_each(|(key, value)| put(copy, &key, value));
+    let writes = relay.pending_transaction(copy, routes).unwrap().unwrap_or_default();
+    let n = writes.puts.len();
+    writes.puts.into_iter().for_each(|(key, value)| put(copy, &key, value));
     n
 }
 
@@ -67,7 +67,7 @@
 fn split_and_joined() {
     let all = routes(7, 2_200);
     let (index, values) = split(&all).unwrap();
-    assert_eq!(values.len(), PARTS);
+    assert_eq!(values.len(), PART_COUNT);
     let parts: Vec<_> = values.iter().map(|v| decode(v).unwrap()).collect();
     assert_eq!(join(&index, &parts), all);
     let longest = values.iter().map(Vec::len).max().unwrap();
@@ -79,13 +79,13 @@
 fn one_change_one_part() {
     let mut copy = large();
     let mut all = routes(7, 2_200);
-    assert_eq!(publish(&mut copy, &balancer(1), &all), PARTS + 1);
+    assert_eq!(publish(&mut copy, &balancer(1), &all), PART_COUNT + 1);
     assert_eq!(publish(&mut copy, &balancer(1), &all), 0, "written once");
     all.version = 9;
     all.routes.get_mut(&addr(5)).unwrap().limit = Duration::from_secs(1);
     assert_eq!(publish(&mut copy, &balancer(1), &all), 2, "the part and the index");
     let mut s = steer();
-    Reader::default().apply_snapshot(&mut s, &copy);
+    SnapshotReader::default().apply_snapshot(&mut s, &copy);
     assert_eq!(s.routes(), Some(&all));
 }
 
@@ -97,15 +97,16 @@
     publish(&mut copy, &relay, &routes(7, 50));
     let old = copy.clone();
     publish(&mut copy, &relay, &routes(8, 60));
-    let (mut s, mut reader) = (steer(), Reader::default());
+    let (mut s, mut reader) = (steer(), SnapshotReader::default());
     reader.apply_snapshot(&mut s, &old);
     assert_eq!(s.version(), Some(7));
     let mut mixed = copy.clone();
-    let index = relay::index(&copy).unwrap().0;
-    let changed = (0..PARTS).map(part_key).find(|k| copy.keys[k.as_str()] != old.keys[k.as_str()]);
+    let index = relay::read_index(&copy).unwrap().0;
+    let changed =
+        (0..PART_COUNT).map(part_key).find(|k| copy.keys[k.as_str()] != old.keys[k.as_str()]);
     let key = changed.unwrap();
     mixed.keys.insert(key.as_str().into(), old.keys[key.as_str()].clone());
-    assert!(relay::whole(&mixed, &index).is_none());
+    assert!(relay::consistent_parts(&mixed, &index).is_none());
     reader.apply_snapshot(&mut s, &mixed);
     assert_eq!((s.version(), s.routes().unwrap().routes.len()), (Some(7), 50));
     reader.apply_snapshot(&mut s, &copy);
@@ -119,24 +120,28 @@
 fn who_relays() {
     let mut copy = Snapshot::default();
     put(&mut copy, config::KEY, vec![b' '; 99]);
-    assert!(!balancer(1).wanted(&copy), "too small");
+    assert!(!balancer(1).should_relay(&copy), "too small");
     let mut copy = large();
     let (first, second) = (balancer(1), balancer(2));
-    assert!(first.wanted(&copy) && second.wanted(&copy), "none is listed");
-    assert_eq!(second.scope(&copy, Some(7)), None);
+    assert!(first.should_relay(&copy) && second.should_relay(&copy), "none is listed");
+    assert_eq!(second.narrow_prefix(&copy, Some(7)), None);
     put(&mut copy, second.key(), Vec::new());
-    assert!(!first.wanted(&copy) && second.wanted(&copy), "one is");
-    assert_eq!(first.scope(&copy, Some(7)), None, "it has written nothing yet");
+    assert!(!first.should_relay(&copy) && second.should_relay(&copy), "one is");
+    assert_eq!(first.narrow_prefix(&copy, Some(7)), None, "it has written nothing yet");
     publish(&mut copy, &second, &routes(7, 50));
-    assert_eq!(first.scope(&copy, Some(7)), Some(OWN));
-    assert_eq!(first.scope(&copy, Some(8)), None, "the parts are older than what is in force");
-    assert_eq!(second.scope(&copy, Some(7)), None, "a relay follows everything");
+    assert_eq!(first.narrow_prefix(&copy, Some(7)), Some(SYSTEM_PREFIX));
+    assert_eq!(
+        first.narrow_prefix(&copy, Some(8)),
+        None,
+        "the parts are older than what is in force"
+    );
+    assert_eq!(second.narrow_prefix(&copy, Some(7)), None, "a relay follows everything");
     // Both stood at once: the first by address stays.
     put(&mut copy, first.key(), Vec::new());
-    assert!(first.wanted(&copy) && !second.wanted(&copy));
-    assert_eq!(second.scope(&copy, Some(7)), None, "until its key is gone");
+    assert!(first.should_relay(&copy) && !second.should_relay(&copy));
+    assert_eq!(second.narrow_prefix(&copy, Some(7)), None, "until its key is gone");
     let other = Relay::new(config::KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
-    assert!(other.wanted(&copy), "each data centre has its own");
+    assert!(other.should_relay(&copy), "each data centre has its own");
 }
 
 #[test]
@@ -144,10 +149,10 @@
     let (mut copy, relay) = (large(), balancer(1));
     publish(&mut copy, &relay, &routes(7, 50));
     put(&mut copy, config::KEY, vec![b' '; 10]);
-    let writes = relay.due(&copy, &routes(8, 1)).unwrap().unwrap();
-    assert_eq!((writes.put.len(), writes.remove.len()), (0, PARTS + 1));
-    assert!(writes.remove.iter().any(|key| key == INDEX));
-    assert_eq!(relay.scope(&copy, Some(7)), None);
+    let writes = relay.pending_transaction(&copy, &routes(8, 1)).unwrap().unwrap();
+    assert_eq!((writes.puts.len(), writes.deletes.len()), (0, PART_COUNT + 1));
+    assert!(writes.deletes.iter().any(|key| key == INDEX_KEY));
+    assert_eq!(relay.narrow_prefix(&copy, Some(7)), None);
 }
 
 /// A store of which a configuration is missed by a narrow watch: the relay
@@ -193,7 +198,7 @@
         gather: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
-    let listed = |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(OWN);
+    let listed = |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(SYSTEM_PREFIX);
     let seen = RefCell::new(Vec::new());
     let run = follow(&source, listed, |news| {
         if let News::Copy(copy) = news {
@@ -202,7 +207,7 @@
     });
     let _ = tokio::time::timeout(300 * MS, run).await;
     assert_eq!(*seen.borrow(), [b"old".to_vec(), b"old".to_vec(), b"new".to_vec()]);
-    assert_eq!(*watched.borrow(), [OWN, ""]);
+    assert_eq!(*watched.borrow(), [SYSTEM_PREFIX, ""]);
 }
 
 async fn beliefs(trial: &Trial, zone: u8, n: u8) -> Option<(u64, bool)> {
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -17,7 +17,7 @@
         zone: "gjw-a".into(),
         service,
         agent: SocketAddr::from(([127, 0, 0, 1], 9000 + i)),
-        leaving: false,
+        stopping: false,
     }
 }
 
@@ -66,7 +66,7 @@
     let t0 = Instant::now();
     let mut r = Roster::new(HOLD, KEEP);
     let leaving: Vec<Target> =
-        meters(3).into_iter().map(|t| Target { leaving: true, ..t }).collect();
+        meters(3).into_iter().map(|t| Target { stopping: true, ..t }).collect();
     r.update(leaving, t0);
     assert_eq!(serving(&r, t0), 0);
     r.update(Vec::new(), t0);
