--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -13,9 +13,9 @@
 use tokio::task::JoinHandle;
 
 use super::inspect::{self, Inspect};
-use super::listing::SnapshotReader;
+use super::snapshot::SnapshotReader;
 use super::socket::Socket;
-use super::{Settings, pause, relay, store};
+use super::{Settings, connect_store, pause, relay};
 use crate::admin::{self, Board};
 use crate::bus::{self, Message};
 use crate::flow::Flow;
@@ -28,42 +28,42 @@
 use crate::{events, metrics};
 
 /// Largest packet of a caller, in bytes.
-const PACKET: usize = 2_048;
+const MAX_PACKET: usize = 2_048;
 
 /// How long a stopping balancer forwards after it said that it is not ready:
 /// the routers ask twice a second and need two misses, so after 1 s at the
 /// latest they hand it nothing new; the rest is for packets on their way. Not
 /// longer: meanwhile its data centre has one balancer less.
-const LINGER: Duration = Duration::from_millis(1_500);
+const STOP_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Pause between a change of the store and the question for the next, so that
 /// changes that come together are read in one call.
-const GATHER: Duration = Duration::from_millis(300);
+const BATCH_DELAY: Duration = Duration::from_millis(300);
 
 /// Longest sleep without a timer due, so that old flows are forgotten and pauses of the
 /// process are noticed.
-const IDLE_TICK: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-struct Wires {
+struct Sockets {
     packets: Socket,
     bus: Socket,
 }
 
-/// The wires with a buffer to encode messages in.
-struct Sender<'a> {
-    wires: &'a Wires,
-    port: u16,
+/// The sockets with a buffer to encode messages in.
+struct PacketSender<'a> {
+    sockets: &'a Sockets,
+    caller_port: u16,
     buf: &'a mut Vec<u8>,
 }
 
-impl steer::Out for Sender<'_> {
+impl steer::Out for PacketSender<'_> {
     fn agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.wires.bus.message(to, message, packet, self.buf);
+        self.sockets.bus.send_message(to, message, packet, self.buf);
     }
 
     fn reset(&mut self, flow: Flow, seq: u32) {
-        let to = SocketAddrV4::new(*flow.caller.ip(), self.port);
-        self.wires.packets.send(to, &packet::reset(flow, seq));
+        let to = SocketAddrV4::new(*flow.caller.ip(), self.caller_port);
+        self.sockets.packets.send_packet(to, &packet::reset(flow, seq));
     }
 }
 
@@ -74,20 +74,20 @@
 /// Fails when the settings are refused or an address is taken.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
-    let wires = Wires {
+    let sockets = Sockets {
         packets: Socket::bind(settings.packets, "callers' packets").await?,
         bus: Socket::bind(settings.bus_addr(), "agents").await?,
     };
     let board = Board::new(settings.name.clone(), platform::config::PREFIX.into());
-    let desk = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
-    let ready = match settings.ready {
-        Some(addr) => Some(readiness(addr, board.clone()).await?),
+    let admin_server = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
+    let ready_server = match settings.ready {
+        Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
         None => None,
     };
     let steer = Steer::new(settings.bus_addr(), settings.zone.clone(), settings.flow_lifetime())
         .policy(settings.steering());
     let steer = Rc::new(RefCell::new(steer));
-    let inspect = inspect::serve(&settings, steer.clone()).await?;
+    let inspect_server = inspect::serve(&settings, steer.clone()).await?;
     log::info!(
         event = events::EDGE_START, name:% = settings.name, zone:% = settings.zone,
         ip:% = settings.ip;
@@ -95,20 +95,23 @@
     );
     let refresh = Arc::new(Notify::new());
     let follower = follow_store(&settings, &steer, &board, refresh.clone()).await?;
-    let port = settings.packets.port();
-    super::until_stopped(path, forward(&wires, &steer, port, &board, &refresh)).await?;
+    let caller_port = settings.packets.port();
+    super::run_until_stopped(path, forward(&sockets, &steer, caller_port, &board, &refresh))
+        .await?;
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = steer.borrow().remembered();
         "balancer stops"
     );
     steer.borrow_mut().stop();
     board.set_ready(false);
-    let linger = LINGER.min(settings.stop_grace() / 2);
-    let _ = tokio::time::timeout(linger, forward(&wires, &steer, port, &board, &refresh)).await;
+    let stop_delay = STOP_DELAY.min(settings.stop_grace() / 2);
+    let _ =
+        tokio::time::timeout(stop_delay, forward(&sockets, &steer, caller_port, &board, &refresh))
+            .await;
     follower.abort();
     let _ = follower.await;
-    desk.stop().await;
-    super::finish(inspect, ready).await;
+    admin_server.stop().await;
+    super::shut_down(inspect_server, ready_server).await;
     Ok(())
 }
 
@@ -121,43 +124,43 @@
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let source = Source {
-        store: store(settings).await?,
+        store: connect_store(settings).await?,
         prefix: String::new(),
         peers: settings.peer_addrs(),
         ask: mirror::Ask::Always,
-        gather: GATHER,
+        gather: BATCH_DELAY,
         refresh,
     };
     let relay =
         Relay::new(platform::config::KEY, &settings.zone, settings.ip, settings.relay_min_bytes());
-    let (tell, copies) = watch::channel(None);
-    let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), copies);
-    let (view, seen) = (steer.clone(), board.clone());
+    let (snapshots, latest) = watch::channel(None);
+    let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), latest);
+    let (steer, board) = (steer.clone(), board.clone());
     Ok(tokio::task::spawn_local(async move {
         let mut lost = false;
         let mut reader = SnapshotReader::default();
-        let scope = |copy: &Snapshot| {
-            let scope = relay.narrow_prefix(copy, view.borrow().version());
-            metrics::state("follows_parts", scope.is_some().into());
-            scope
+        let narrow_prefix = |copy: &Snapshot| {
+            let prefix = relay.narrow_prefix(copy, steer.borrow().version());
+            metrics::state("follows_parts", prefix.is_some().into());
+            prefix
         };
-        let follow = mirror::follow(&source, scope, |news| match news {
+        let follow = mirror::follow(&source, narrow_prefix, |news| match news {
             News::Copy(copy) => {
-                reader.apply_snapshot(&mut view.borrow_mut(), copy);
-                seen.set_ready(view.borrow().ready());
+                reader.apply_snapshot(&mut steer.borrow_mut(), copy);
+                board.set_ready(steer.borrow().ready());
                 let copy = Arc::new(copy.clone());
-                seen.set_copy(copy.clone());
-                tell.send_replace(Some(copy));
+                board.set_copy(copy.clone());
+                snapshots.send_replace(Some(copy));
             }
             News::Back => {
-                view.borrow_mut().see(true, Instant::now());
+                steer.borrow_mut().see(true, Instant::now());
                 log::info!(event = events::EDGE_STORE, after_loss = lost; "store answers");
                 lost = false;
             }
             News::Failed(e) if !lost => {
-                view.borrow_mut().see(false, Instant::now());
+                steer.borrow_mut().see(false, Instant::now());
                 log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "store lost");
-                tell.send_replace(None);
+                snapshots.send_replace(None);
                 lost = true;
             }
             News::Failed(_) => {}
@@ -171,7 +174,7 @@
         Self::beliefs(self, flow, Instant::now())
     }
 
-    fn gauge(&self) {
+    fn publish_gauges(&self) {
         metrics::state("config_version", self.version().unwrap_or_default());
         metrics::state("agents", self.roster.len() as u64);
         metrics::state("flows_remembered", self.remembered() as u64);
@@ -179,9 +182,9 @@
     }
 }
 
-async fn readiness(addr: std::net::SocketAddr, board: Board) -> anyhow::Result<Server> {
-    Server::start(addr, move |asked| {
-        Answer::empty(match asked.path.as_str() {
+async fn serve_readiness(addr: std::net::SocketAddr, board: Board) -> anyhow::Result<Server> {
+    Server::start(addr, move |request| {
+        Answer::empty(match request.path.as_str() {
             platform::READY_PATH if board.ready() => StatusCode::OK,
             platform::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
@@ -192,27 +195,27 @@
 
 /// Forwards packets until told otherwise.
 async fn forward(
-    wires: &Wires,
+    sockets: &Sockets,
     steer: &RefCell<Steer>,
-    port: u16,
+    caller_port: u16,
     board: &Board,
     refresh: &Notify,
 ) {
-    let mut buf = vec![0; PACKET];
+    let mut buf = vec![0; MAX_PACKET];
     let mut scratch = Vec::with_capacity(bus::DATAGRAM);
     loop {
         let before = Instant::now();
         let due = steer.borrow().next_due(before);
-        let wait = due.map_or(IDLE_TICK, |at| at.saturating_duration_since(before));
+        let wait = due.map_or(MAX_SLEEP, |at| at.saturating_duration_since(before));
         tokio::select! {
-            () = wires.packets.readable() => {}
-            () = wires.bus.readable() => {}
+            () = sockets.packets.readable() => {}
+            () = sockets.bus.readable() => {}
             () = tokio::time::sleep(wait) => {}
         }
         let mut steer = steer.borrow_mut();
-        let mut out = Sender { wires, port, buf: &mut scratch };
+        let mut out = PacketSender { sockets, caller_port, buf: &mut scratch };
         let now = Instant::now();
-        if let Some(paused) = pause::note(before + wait, now) {
+        if let Some(paused) = pause::detect(before + wait, now) {
             steer.resume(paused);
             refresh.notify_one();
         }
@@ -220,15 +223,16 @@
         // answer that has come was read: on a busy VM a caller's next packet
         // would overtake the note of its open, and answers in the queue would
         // count as missing.
-        let caught_up = wires.bus.drain(&mut buf, |datagram, from| match bus::decode(datagram) {
-            Ok((message, _)) => steer.message(from, &message, now, &mut out),
-            Err(e) => metrics::dropped(e),
-        });
-        wires.packets.drain(&mut buf, |datagram, _| match packet::decode(datagram) {
+        let all_read =
+            sockets.bus.read_batch(&mut buf, |datagram, from| match bus::decode(datagram) {
+                Ok((message, _)) => steer.message(from, &message, now, &mut out),
+                Err(e) => metrics::dropped(e),
+            });
+        sockets.packets.read_batch(&mut buf, |datagram, _| match packet::decode(datagram) {
             Ok(seg) => steer.packet(&seg, datagram, now, &mut out),
             Err(e) => metrics::dropped(e),
         });
-        if caught_up {
+        if all_read {
             steer.tick(now, &mut out);
         }
         board.set_ready(steer.ready());
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -19,7 +19,7 @@
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value;
 
     /// Sets the gauges of its state.
-    fn gauge(&self);
+    fn publish_gauges(&self);
 }
 
 /// Serves metrics and beliefs of `process`.
@@ -32,13 +32,13 @@
     process: Rc<RefCell<P>>,
 ) -> anyhow::Result<Server> {
     let addr = SocketAddr::new(settings.ip.into(), settings.metrics);
-    Server::start(addr, move |asked| match asked.path.as_str() {
+    Server::start(addr, move |request| match request.path.as_str() {
         "/metrics" => {
-            process.borrow().gauge();
+            process.borrow().publish_gauges();
             metrics::load::publish();
             Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::text() }
         }
-        "/beliefs" => match flow(&asked.query) {
+        "/beliefs" => match parse_flow(&request.query) {
             Ok(flow) => Answer::json(process.borrow().beliefs(flow).to_string()),
             Err(e) => Answer {
                 status: StatusCode::BAD_REQUEST,
@@ -51,7 +51,7 @@
     .await
 }
 
-fn flow(query: &str) -> anyhow::Result<Option<Flow>> {
+fn parse_flow(query: &str) -> anyhow::Result<Option<Flow>> {
     let Some(text) = query.strip_prefix("flow=") else { return Ok(None) };
     text.replace("%3E", ">").parse().map(Some)
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -3,24 +3,24 @@
 //! clocks and the store; what to do with a packet is decided by
 //! [`crate::steer`] and [`crate::hold`].
 
-mod announce;
 pub mod entry;
 mod inspect;
-mod listing;
 mod pause;
 mod port;
+mod registration;
 mod relay;
 mod reports;
 mod settings;
 pub mod sidecar;
+mod snapshot;
 mod socket;
 
 use std::path::Path;
 use std::time::Duration;
 
 use anyhow::Context;
-pub use listing::SnapshotReader;
 pub use settings::{Settings, TimeLimits};
+pub use snapshot::SnapshotReader;
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::listen::Server;
@@ -31,24 +31,24 @@
 
 /// Timeout of one call to the store. It answers in milliseconds; a call that
 /// was lost is made again within the second that a change may take.
-const CALL: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long one watch waits. A service that went silent is found 0.5 s after
 /// this, so that a change of the configuration is still in force within 3 s
 /// of the 4 s after which a process counts as in touch.
-const WATCH: Duration = Duration::from_millis(3_000);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Time to live of an agent's entry: long, since agents that die are found by
 /// their silence, and each renewal, at a third of this, is a call.
-const LEASE_MS: u64 = 300_000;
+const AGENT_LEASE_MS: u64 = 300_000;
 
-async fn store(settings: &Settings) -> anyhow::Result<platform::kv::Client> {
-    platform::kv::Client::new(settings.store, CALL, WATCH).await
+async fn connect_store(settings: &Settings) -> anyhow::Result<platform::kv::Client> {
+    platform::kv::Client::new(settings.store, CALL_TIMEOUT, WATCH_TIMEOUT).await
 }
 
 /// Does `work` until the process is told to stop; reads the settings again
 /// whenever it is told that they changed.
-async fn until_stopped(path: &Path, work: impl Future<Output = ()>) -> anyhow::Result<()> {
+async fn run_until_stopped(path: &Path, work: impl Future<Output = ()>) -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("signal")?;
     let mut hup = signal(SignalKind::hangup()).context("signal")?;
     tokio::pin!(work);
@@ -56,13 +56,13 @@
         tokio::select! {
             () = &mut work => return Ok(()),
             _ = term.recv() => return Ok(()),
-            _ = hup.recv() => reload(path),
+            _ = hup.recv() => check_settings(path),
         }
     }
 }
 
 /// Ends what a role served and logs the totals of all counters.
-async fn finish(inspect: Server, ready: Option<Server>) {
+async fn shut_down(inspect: Server, ready: Option<Server>) {
     inspect.stop().await;
     if let Some(server) = ready {
         server.stop().await;
@@ -84,7 +84,7 @@
 /// Reads the settings again and says whether they are good. What a process
 /// was started with stays in force: its addresses and its data centre do not
 /// change while it runs.
-fn reload(path: &Path) {
+fn check_settings(path: &Path) {
     match Settings::load(path) {
         Ok(s) => log::info!(event = events::EDGE_RELOAD, name:% = s.name; "settings read again"),
         Err(e) => log::error!(
--- a/src/edge/pause.rs
+++ b/src/edge/pause.rs
@@ -7,13 +7,13 @@
 use crate::metrics::load;
 
 /// Shortest pause that counts as one.
-const SHORTEST: Duration = Duration::from_millis(500);
+const MIN_PAUSE: Duration = Duration::from_millis(500);
 
 /// Logs that the process runs only `now`, though a timer was due at `due`; returns how
 /// long it did not run.
-pub fn note(due: Instant, now: Instant) -> Option<Duration> {
+pub fn detect(due: Instant, now: Instant) -> Option<Duration> {
     let late = now.saturating_duration_since(due);
-    if late < SHORTEST {
+    if late < MIN_PAUSE {
         return None;
     }
     let ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -9,39 +9,39 @@
 use crate::hold::{Holder, Out};
 
 /// How long the target's port may take to answer; it is on the same VM.
-const PROBE: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What trying the target's port showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Port {
+pub(super) enum PortState {
     Open,
     Closed,
     Silent,
 }
 
 /// Tries the target's port. Only a refusal proves that its process is over.
-pub(super) async fn probe(target: SocketAddrV4) -> Port {
-    match tokio::time::timeout(PROBE, TcpStream::connect(target)).await {
-        Ok(Ok(_)) => Port::Open,
-        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => Port::Closed,
+pub(super) async fn probe(target: SocketAddrV4) -> PortState {
+    match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await {
+        Ok(Ok(_)) => PortState::Open,
+        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => PortState::Closed,
         Ok(Err(e)) => {
             log::warn!(event = events::EDGE_TARGET, target:% = target, error:% = e; "target's port not tried");
-            Port::Silent
+            PortState::Silent
         }
-        Err(_) => Port::Silent,
+        Err(_) => PortState::Silent,
     }
 }
 
 /// What the port of the target showed is noted.
-pub(super) fn note(
+pub(super) fn apply_state(
     holder: &mut Holder,
-    found: Port,
+    state: PortState,
     target: SocketAddrV4,
     now: Instant,
     out: &mut impl Out,
 ) {
-    match found {
-        Port::Closed => {
+    match state {
+        PortState::Closed => {
             log::warn!(
                 event = events::EDGE_TARGET, target:% = target, state = "crashed",
                 flows = holder.flows();
@@ -49,10 +49,10 @@
             );
             holder.crashed(out);
         }
-        Port::Open | Port::Silent => {
+        PortState::Open | PortState::Silent => {
             log::info!(
                 event = events::EDGE_TARGET, target:% = target, state = "silent",
-                port:? = found, waiting = holder.waiting();
+                port:? = state, waiting = holder.waiting();
                 "target does not answer"
             );
             holder.slow(now);
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -1,4 +1,4 @@
-//! Carries out what [`Relay`] decides: holds the relay's key and writes the
+//! Carries out what [`Relay`] decides: holds the relay's key and transaction the
 //! configuration in parts.
 
 use std::cell::RefCell;
@@ -17,56 +17,56 @@
 
 /// Time to live of a relay's key. When the relay dies, its data centre follows
 /// in full again after this; a change is to be in force within 5 s.
-const LEASE_MS: u64 = 2_000;
+const RELAY_LEASE_MS: u64 = 2_000;
 
 /// Longest pause, drawn at random, before a balancer campaigns to be the relay, so that
 /// few of a data centre write their keys before the others see one.
-const CAMPAIGN: Duration = Duration::from_millis(500);
+const MAX_CAMPAIGN_DELAY: Duration = Duration::from_millis(500);
 
 /// Pause before parts that could not be written are written again.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Does the relay's work, forever; `copies` brings the store's keys, none while
+/// Does the relay's work, forever; `snapshots` brings the store's keys, none while
 /// the store is lost.
 pub async fn run(
     store: Client,
     relay: Relay,
     steer: Rc<RefCell<Steer>>,
-    mut copies: watch::Receiver<Option<Arc<Snapshot>>>,
+    mut snapshots: watch::Receiver<Option<Arc<Snapshot>>>,
 ) {
     // Held for as long as this runs; dropping it ends the task.
-    let mut holder = JoinSet::new();
+    let mut key_task = JoinSet::new();
     loop {
-        let copy = copies.borrow_and_update().clone();
-        let wanted =
+        let copy = snapshots.borrow_and_update().clone();
+        let should_relay =
             |copy: &Option<Arc<Snapshot>>| copy.as_ref().is_some_and(|c| relay.should_relay(c));
-        if wanted(&copy) && holder.is_empty() {
-            tokio::time::sleep(CAMPAIGN.mul_f64(rand::random())).await;
-            if wanted(&copies.borrow()) {
+        if should_relay(&copy) && key_task.is_empty() {
+            tokio::time::sleep(MAX_CAMPAIGN_DELAY.mul_f64(rand::random())).await;
+            if should_relay(&snapshots.borrow()) {
                 log::info!(event = events::EDGE_RELAY, key = relay.key(), relay = true; "relay");
-                holder.spawn_local(hold_key(store.clone(), relay.key().to_string()));
+                key_task.spawn_local(hold_key(store.clone(), relay.key().to_string()));
             }
             continue;
         }
-        if !wanted(&copy) && !holder.is_empty() {
-            holder.shutdown().await;
+        if !should_relay(&copy) && !key_task.is_empty() {
+            key_task.shutdown().await;
             log::info!(event = events::EDGE_RELAY, key = relay.key(), relay = false; "not relay");
             // While the store is lost the key lapses by itself.
             if copy.is_some() {
-                withdraw(&store, &relay).await;
+                remove_key(&store, &relay).await;
             }
         }
-        let written = match &copy {
+        let published = match &copy {
             Some(copy) => publish_parts(&store, &relay, &steer, copy).await,
             None => Ok(()),
         };
-        let failed = written.is_err();
-        if let Err(e) = written {
+        let failed = published.is_err();
+        if let Err(e) = published {
             log::warn!(event = events::EDGE_RELAY, error:% = format!("{e:#}"); "parts not written");
         }
         tokio::select! {
-            changed = copies.changed() => if changed.is_err() { return },
-            () = tokio::time::sleep(RETRY), if failed => {}
+            changed = snapshots.changed() => if changed.is_err() { return },
+            () = tokio::time::sleep(RETRY_DELAY), if failed => {}
         }
     }
 }
@@ -74,10 +74,10 @@
 async fn hold_key(store: Client, key: String) {
     // The key says all; its value is never changed.
     let (_value, values) = watch::channel(Vec::new());
-    lease::hold(&store, &key, values, LEASE_MS, &Notify::new()).await;
+    lease::hold(&store, &key, values, RELAY_LEASE_MS, &Notify::new()).await;
 }
 
-async fn withdraw(store: &Client, relay: &Relay) {
+async fn remove_key(store: &Client, relay: &Relay) {
     if let Err(e) = store.delete(relay.key()).await {
         // It lapses with its lease.
         log::warn!(event = events::EDGE_RELAY, error:% = format!("{e:#}"); "key not removed");
@@ -92,15 +92,17 @@
     steer: &RefCell<Steer>,
     copy: &Snapshot,
 ) -> anyhow::Result<()> {
-    let (due, version) = match steer.borrow().routes() {
+    let (pending, version) = match steer.borrow().routes() {
         Some(routes) => (relay.pending_transaction(copy, routes)?, routes.version),
         None => return Ok(()),
     };
-    let Some(writes) = due else { return Ok(()) };
-    let first = store.swap((INDEX_KEY, writes.index_rev), &writes.puts, &writes.deletes).await?;
+    let Some(transaction) = pending else { return Ok(()) };
+    let committed = store
+        .swap((INDEX_KEY, transaction.index_rev), &transaction.puts, &transaction.deletes)
+        .await?;
     log::info!(
-        event = events::EDGE_RELAY, version = version, parts = writes.puts.len(),
-        removed = writes.deletes.len(), first = first;
+        event = events::EDGE_RELAY, version = version, parts = transaction.puts.len(),
+        removed = transaction.deletes.len(), first = committed;
         "configuration published in parts"
     );
     Ok(())
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -7,7 +7,7 @@
 
 use ntex::http::StatusCode;
 
-use super::announce::Entry;
+use super::registration::Registration;
 use crate::hold::Holder;
 use crate::listen::{Answer, Asked, Server};
 use crate::platform::report;
@@ -17,14 +17,17 @@
 pub(super) async fn serve(
     addr: SocketAddr,
     holder: Rc<RefCell<Holder>>,
-    entry: Rc<Entry>,
+    registration: Rc<Registration>,
 ) -> anyhow::Result<Server> {
-    Server::start(addr, move |asked| heard(&asked, &mut holder.borrow_mut(), &entry)).await
+    Server::start(addr, move |request| {
+        handle_report(&request, &mut holder.borrow_mut(), &registration)
+    })
+    .await
 }
 
-fn heard(asked: &Asked, holder: &mut Holder, entry: &Entry) -> Answer {
+fn handle_report(request: &Asked, holder: &mut Holder, registration: &Registration) -> Answer {
     let now = Instant::now();
-    match report::decode(&asked.path, &asked.body, entry.target) {
+    match report::decode(&request.path, &request.body, registration.target) {
         Ok(Some(report::Call::Heartbeat(r))) => {
             let (start, state, seq) = (r.start.clone(), r.state, r.seq);
             if holder.report(r, now) {
@@ -33,7 +36,7 @@
                     flows = holder.flows();
                     "target reports"
                 );
-                entry.serves(start);
+                registration.set_target_start(start);
             }
             Answer::json(report::ANSWER.to_string())
         }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -12,11 +12,11 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-use super::announce::{Earlier, Entry, announce, earlier, withdraw};
 use super::inspect::{self, Inspect};
-use super::port::{self, Port};
+use super::port::{self, PortState};
+use super::registration::{Previous, Registration, deregister, hold_registration, read_previous};
 use super::socket::Socket;
-use super::{AGENT_PREFIX, Settings, pause, reports, store};
+use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
 use crate::bus::{self, Message};
 use crate::flow::Flow;
 use crate::hold::{self, Holder, Target};
@@ -26,62 +26,62 @@
 use crate::{events, metrics};
 
 /// Largest packet, in bytes.
-const PACKET: usize = 2_048;
+const MAX_PACKET: usize = 2_048;
 
 /// Part of the platform's longest planned stop that an agent uses at most to
 /// let its target finish what it works on.
-const STOP_PART: f64 = 0.75;
+const STOP_FRACTION: f64 = 0.75;
 
 /// How long an agent whose target has ended answers on after it removed its entry:
 /// until every balancer has seen that (0.3 s) and asked it once more. One that went
 /// silent first would hold up the searches of its service, as it might hold a flow.
-const STAY: Duration = Duration::from_millis(600);
+const DEREGISTERED_DELAY: Duration = Duration::from_millis(600);
 
 /// How often a stopping agent looks whether its target is done.
-const STOP_POLL: Duration = Duration::from_millis(50);
+const IDLE_POLL: Duration = Duration::from_millis(50);
 
 /// Least pause between two writes of the agent's entry that balancers ask
 /// for: their views lag the store by some milliseconds.
-const RELIST: Duration = Duration::from_millis(1_000);
+const REWRITE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// After how long without a word of any balancer an agent looks whether its
 /// entry still stands. A balancer that misses the entry says so; one that was
 /// started after the entry had lapsed does not know of the agent. Each look is a
 /// call.
-const QUIET: Duration = Duration::from_secs(4);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-struct Wires {
+struct Sockets {
     bus: Socket,
     outbound: Socket,
     target: SocketAddrV4,
-    port: u16,
+    caller_port: u16,
 }
 
-impl Wires {
+impl Sockets {
     async fn bind(settings: &Settings) -> anyhow::Result<Self> {
-        let outbound = settings.outbound.with_context(missing("outbound"))?;
+        let outbound = settings.outbound.with_context(missing_field("outbound"))?;
         Ok(Self {
             bus: Socket::bind(settings.bus_addr(), "balancers and agents").await?,
             outbound: Socket::bind(outbound, "the target's packets").await?,
-            target: settings.target.with_context(missing("target"))?,
-            port: settings.packets.port(),
+            target: settings.target.with_context(missing_field("target"))?,
+            caller_port: settings.packets.port(),
         })
     }
 }
 
-/// The wires with a buffer to encode messages in.
-struct Sender<'a> {
-    wires: &'a Wires,
+/// The sockets with a buffer to encode messages in.
+struct PacketSender<'a> {
+    sockets: &'a Sockets,
     buf: &'a mut Vec<u8>,
 }
 
-impl hold::Out for Sender<'_> {
+impl hold::Out for PacketSender<'_> {
     fn target(&mut self, packet: &[u8]) {
-        self.wires.outbound.send(self.wires.target, packet);
+        self.sockets.outbound.send_packet(self.sockets.target, packet);
     }
 
     fn caller(&mut self, to: SocketAddrV4, packet: &[u8]) {
-        self.wires.bus.send(SocketAddrV4::new(*to.ip(), self.wires.port), packet);
+        self.sockets.bus.send_packet(SocketAddrV4::new(*to.ip(), self.sockets.caller_port), packet);
     }
 
     fn reset(&mut self, flow: Flow, seq: u32) {
@@ -89,7 +89,7 @@
     }
 
     fn peer(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.wires.bus.message(to, message, packet, self.buf);
+        self.sockets.bus.send_message(to, message, packet, self.buf);
     }
 }
 
@@ -100,90 +100,98 @@
 /// Fails when the settings are refused or an address is taken.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
-    let service = settings.service.clone().with_context(missing("service"))?;
-    let wires = Wires::bind(&settings).await?;
+    let service = settings.service.clone().with_context(missing_field("service"))?;
+    let sockets = Sockets::bind(&settings).await?;
     let holder =
         Holder::new(service.clone(), settings.flow_lifetime()).policy(settings.policy.hold.clone());
     let holder = Rc::new(RefCell::new(holder));
-    let inspect = inspect::serve(&settings, holder.clone()).await?;
+    let inspect_server = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
         event = events::EDGE_START, name:% = settings.name, zone:% = settings.zone,
         service:% = service, ip:% = settings.ip;
         "agent started"
     );
-    let store = store(&settings).await?;
+    let store = connect_store(&settings).await?;
     let key = format!("{AGENT_PREFIX}{}", settings.ip);
-    match earlier(&store, &key).await {
-        Earlier::Unknown => {}
-        Earlier::None => holder.borrow_mut().mark_new(),
-        Earlier::Listed(target) => holder.borrow_mut().follows(target, Instant::now()),
+    match read_previous(&store, &key).await {
+        Previous::Unknown => {}
+        Previous::Absent => holder.borrow_mut().mark_new(),
+        Previous::Present(target) => holder.borrow_mut().follows(target, Instant::now()),
     }
-    let me =
+    let record =
         Announced { addr: settings.bus_addr(), zone: settings.zone.clone(), service, target: None };
-    let (value, values) = watch::channel(serde_json::to_vec(&me)?);
-    let target = wires.target;
-    let entry = Rc::new(Entry { me, target, value, check: Rc::new(Notify::new()) });
-    let desk_addr = settings.reports.with_context(missing("reports"))?;
-    let desk = reports::serve(desk_addr, holder.clone(), entry.clone()).await?;
-    let ready = match settings.ready {
+    let (value, values) = watch::channel(serde_json::to_vec(&record)?);
+    let target = sockets.target;
+    let registration =
+        Rc::new(Registration { record, target, value, lease_check: Rc::new(Notify::new()) });
+    let report_addr = settings.reports.with_context(missing_field("reports"))?;
+    let report_server = reports::serve(report_addr, holder.clone(), registration.clone()).await?;
+    let ready_server = match settings.ready {
         Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
         None => None,
     };
-    let announcing = announce(store.clone(), key.clone(), values, entry.check.clone());
-    let announcer = tokio::task::spawn_local(announcing);
-    super::until_stopped(path, forward(&wires, &holder, &entry)).await?;
-    let ended = target_ended(&wires, &holder).await;
+    let holding =
+        hold_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
+    let registrar = tokio::task::spawn_local(holding);
+    super::run_until_stopped(path, forward(&sockets, &holder, &registration)).await?;
+    let ended = check_target_ended(&sockets, &holder).await;
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flows(),
         waiting = holder.borrow().waiting(), target_ended = ended;
         "agent stops"
     );
-    announcer.abort();
-    let _ = announcer.await;
+    registrar.abort();
+    let _ = registrar.await;
     holder.borrow_mut().stop();
-    let most = settings.stop_grace().mul_f64(STOP_PART);
-    let last = async {
+    let stop_limit = settings.stop_grace().mul_f64(STOP_FRACTION);
+    let stopping = async {
         if ended {
-            withdraw(&store, &key, most.saturating_sub(STAY)).await;
-            tokio::time::sleep(STAY).await;
+            deregister(&store, &key, stop_limit.saturating_sub(DEREGISTERED_DELAY)).await;
+            tokio::time::sleep(DEREGISTERED_DELAY).await;
         } else {
             // Past its time it goes with work in progress.
-            let _ = tokio::time::timeout(most, idle(&holder)).await;
+            let _ = tokio::time::timeout(stop_limit, wait_until_idle(&holder)).await;
         }
     };
     tokio::select! {
-        () = forward(&wires, &holder, &entry) => {}
-        () = last => {}
+        () = forward(&sockets, &holder, &registration) => {}
+        () = stopping => {}
     }
     if !ended {
         let mut buf = Vec::with_capacity(bus::DATAGRAM);
         holder
             .borrow()
-            .hand_over(settings.bus_addr(), &mut Sender { wires: &wires, buf: &mut buf });
+            .hand_over(settings.bus_addr(), &mut PacketSender { sockets: &sockets, buf: &mut buf });
     }
-    desk.stop().await;
-    super::finish(inspect, ready).await;
+    report_server.stop().await;
+    super::shut_down(inspect_server, ready_server).await;
     Ok(())
 }
 
-fn missing(field: &'static str) -> impl Fn() -> String {
+fn missing_field(field: &'static str) -> impl Fn() -> String {
     move || format!("settings: field `{field}`: an agent needs it")
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
-async fn idle(holder: &RefCell<Holder>) {
+async fn wait_until_idle(holder: &RefCell<Holder>) {
     while !holder.borrow().idle() {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(IDLE_POLL).await;
     }
 }
 
 /// Whether the target's process is over, for an agent that is told to stop: its
 /// port is tried, as its goodbye may have been lost or be a moment old.
-async fn target_ended(wires: &Wires, holder: &RefCell<Holder>) -> bool {
-    if !holder.borrow().ended() && port::probe(wires.target).await == Port::Closed {
+async fn check_target_ended(sockets: &Sockets, holder: &RefCell<Holder>) -> bool {
+    if !holder.borrow().ended() && port::probe(sockets.target).await == PortState::Closed {
         let mut buf = Vec::with_capacity(bus::DATAGRAM);
-        let mut out = Sender { wires, buf: &mut buf };
-        port::note(&mut holder.borrow_mut(), Port::Closed, wires.target, Instant::now(), &mut out);
+        let mut out = PacketSender { sockets, buf: &mut buf };
+        port::apply_state(
+            &mut holder.borrow_mut(),
+            PortState::Closed,
+            sockets.target,
+            Instant::now(),
+            &mut out,
+        );
     }
     holder.borrow().ended()
 }
@@ -193,7 +201,7 @@
         Self::beliefs(self, flow, Instant::now())
     }
 
-    fn gauge(&self) {
+    fn publish_gauges(&self) {
         metrics::state("flows", self.flows() as u64);
         metrics::state("waiting", self.waiting().into());
     }
@@ -201,96 +209,101 @@
 
 /// What came from balancers and other agents.
 #[derive(Debug, Default)]
-struct Heard {
+struct BusActivity {
     /// Anything came.
-    any: bool,
+    received: bool,
     /// A balancer does not see the agent's entry in the store.
-    unlisted: bool,
+    unregistered: bool,
 }
 
 /// Takes what balancers and other agents say.
 fn read_bus(
-    wires: &Wires,
+    sockets: &Sockets,
     buf: &mut [u8],
     holder: &mut Holder,
     now: Instant,
-    out: &mut Sender<'_>,
-) -> Heard {
-    let mut heard = Heard::default();
-    wires.bus.drain(buf, |datagram, from| {
-        heard.any = true;
+    out: &mut PacketSender<'_>,
+) -> BusActivity {
+    let mut activity = BusActivity::default();
+    sockets.bus.read_batch(buf, |datagram, from| {
+        activity.received = true;
         let Ok((message, packet)) = bus::decode(datagram) else {
             metrics::dropped("not a message");
             return;
         };
-        heard.unlisted |= message == Message::Ping { listed: false };
+        activity.unregistered |= message == Message::Ping { listed: false };
         match (packet.is_empty(), packet::decode(packet)) {
             (true, _) => holder.message(from, &message, None, packet, now, out),
             (false, Ok(seg)) => holder.message(from, &message, Some(&seg), packet, now, out),
             (false, Err(e)) => metrics::dropped(e),
         }
     });
-    heard
+    activity
 }
 
 /// Takes the target's packets.
-fn read_target(
-    wires: &Wires,
+fn read_target_packets(
+    sockets: &Sockets,
     buf: &mut [u8],
     holder: &mut Holder,
     now: Instant,
-    out: &mut Sender<'_>,
+    out: &mut PacketSender<'_>,
 ) {
-    wires.outbound.drain(buf, |datagram, _| match packet::decode(datagram) {
+    sockets.outbound.read_batch(buf, |datagram, _| match packet::decode(datagram) {
         Ok(seg) => holder.target_packet(&seg, datagram, now, out, packet::clear_bounced),
         Err(e) => metrics::dropped(e),
     });
 }
 
 /// Forwards packets until told otherwise.
-async fn forward(wires: &Wires, holder: &RefCell<Holder>, entry: &Entry) {
-    let mut buf = vec![0; PACKET];
+async fn forward(sockets: &Sockets, holder: &RefCell<Holder>, registration: &Registration) {
+    let mut buf = vec![0; MAX_PACKET];
     let mut scratch = Vec::with_capacity(bus::DATAGRAM);
-    let mut relisted: Option<Instant> = None;
+    let mut last_rewrite: Option<Instant> = None;
     let mut probes = JoinSet::new();
-    let mut heard_at = Instant::now();
+    let mut last_received = Instant::now();
     loop {
         let before = Instant::now();
-        if before.duration_since(heard_at) >= QUIET {
-            heard_at = before;
-            entry.check.notify_one();
+        if before.duration_since(last_received) >= SILENCE_TIMEOUT {
+            last_received = before;
+            registration.lease_check.notify_one();
         }
         if probes.is_empty() && holder.borrow().should_probe(before) {
-            probes.spawn_local(port::probe(wires.target));
+            probes.spawn_local(port::probe(sockets.target));
         }
         let due = holder.borrow().next_due().filter(|_| probes.is_empty());
-        let wait = due.map_or(QUIET, |at| at.saturating_duration_since(before)).min(QUIET);
+        let wait = due
+            .map_or(SILENCE_TIMEOUT, |at| at.saturating_duration_since(before))
+            .min(SILENCE_TIMEOUT);
         let mut probed = None;
         tokio::select! {
-            () = wires.bus.readable() => {}
-            () = wires.outbound.readable() => {}
-            Some(found) = probes.join_next() => probed = found.ok(),
+            () = sockets.bus.readable() => {}
+            () = sockets.outbound.readable() => {}
+            Some(port_state) = probes.join_next() => probed = port_state.ok(),
             () = tokio::time::sleep(wait) => {}
         }
         let mut holder = holder.borrow_mut();
-        let mut out = Sender { wires, buf: &mut scratch };
+        let mut out = PacketSender { sockets, buf: &mut scratch };
         let now = Instant::now();
         // Only logged: an agent decides nothing by how long others were silent.
-        pause::note(before + wait, now);
-        if let Some(found) = probed {
-            port::note(&mut holder, found, wires.target, now, &mut out);
+        pause::detect(before + wait, now);
+        if let Some(port_state) = probed {
+            port::apply_state(&mut holder, port_state, sockets.target, now, &mut out);
         }
-        let heard = read_bus(wires, &mut buf, &mut holder, now, &mut out);
-        read_target(wires, &mut buf, &mut holder, now, &mut out);
+        let activity = read_bus(sockets, &mut buf, &mut holder, now, &mut out);
+        read_target_packets(sockets, &mut buf, &mut holder, now, &mut out);
         holder.tick(now, &mut out);
-        if heard.any {
-            heard_at = now;
+        if activity.received {
+            last_received = now;
         }
         let serves = holder.target().is_some_and(Target::alive);
-        if heard.unlisted && serves && relisted.is_none_or(|at| now.duration_since(at) >= RELIST) {
-            relisted = Some(now);
+        if activity.unregistered
+            && serves
+            && last_rewrite.is_none_or(|at| now.duration_since(at) >= REWRITE_INTERVAL)
+        {
+            last_rewrite = Some(now);
             log::info!(event = events::EDGE_STORE; "entry missing in the store, written again");
-            entry.value.send_modify(|_| {});
+            registration.value.send_modify(|_| {});
         }
     }
 }
--- a/src/edge/listing.rs
+++ b/src/edge/snapshot.rs
@@ -16,8 +16,8 @@
 /// What was read so far, by revision.
 #[derive(Debug, Default)]
 pub struct SnapshotReader {
-    config: i64,
-    index: i64,
+    config_rev: i64,
+    index_rev: i64,
     parts: BTreeMap<Arc<str>, (i64, Part)>,
     agents: BTreeMap<Arc<str>, (i64, Option<Announced>)>,
 }
@@ -26,13 +26,13 @@
     /// Applies what the store's keys say now to `steer`.
     pub fn apply_snapshot(&mut self, steer: &mut Steer, copy: &Snapshot) {
         if let Some(kv) = copy.keys.get(platform::config::KEY)
-            && kv.rev != self.config
+            && kv.rev != self.config_rev
         {
-            self.config = kv.rev;
+            self.config_rev = kv.rev;
             apply_config(steer, kv);
         }
-        self.read_parts(steer, copy);
-        if self.read_agents(copy) {
+        self.apply_parts(steer, copy);
+        if self.decode_agents(copy) {
             let agents: Vec<Announced> =
                 self.agents.values().filter_map(|(_, a)| a.clone()).collect();
             if steer.roster.update(&agents, Instant::now()) {
@@ -46,45 +46,45 @@
     }
 
     /// Applies a configuration that a relay published in parts, if it is newer.
-    fn read_parts(&mut self, steer: &mut Steer, copy: &Snapshot) {
-        let Some((index, rev)) = relay::read_index(copy).filter(|(_, rev)| *rev != self.index)
+    fn apply_parts(&mut self, steer: &mut Steer, copy: &Snapshot) {
+        let Some((index, rev)) = relay::read_index(copy).filter(|(_, rev)| *rev != self.index_rev)
         else {
             return;
         };
         if steer.version() >= Some(index.version) {
-            self.index = rev;
+            self.index_rev = rev;
             return;
         }
         // The parts of a listing may be older than its index; the watch after
         // it brings the rest.
         let Some(kvs) = relay::consistent_parts(copy, &index) else { return };
         let mut parts = BTreeMap::new();
-        let mut read = 0;
+        let mut decoded = 0;
         for kv in kvs {
             let known = self.parts.remove(&kv.key).filter(|(rev, _)| *rev == kv.rev);
             let part = match known {
                 Some((_, part)) => part,
                 None => match relay::parts::decode(&kv.value) {
                     Ok(part) => {
-                        read += 1;
+                        decoded += 1;
                         part
                     }
                     Err(e) => {
-                        log_rejected(kv, &e);
+                        log_unreadable_config(kv, &e);
                         return;
                     }
                 },
             };
             parts.insert(kv.key.clone(), (kv.rev, part));
         }
-        self.index = rev;
+        self.index_rev = rev;
         let routes = relay::parts::join(&index, parts.values().map(|(_, part)| part));
         self.parts = parts;
-        apply(steer, routes, rev, read);
+        apply_routes(steer, routes, rev, decoded);
     }
 
     /// Reads the agents' entries that changed; says whether any did.
-    fn read_agents(&mut self, copy: &Snapshot) -> bool {
+    fn decode_agents(&mut self, copy: &Snapshot) -> bool {
         let before = self.agents.len();
         self.agents.retain(|key, _| copy.keys.contains_key(key));
         let mut changed = self.agents.len() != before;
@@ -94,7 +94,7 @@
                 break;
             }
             if self.agents.get(key).is_none_or(|(rev, _)| *rev != kv.rev) {
-                self.agents.insert(key.clone(), (kv.rev, announced(kv)));
+                self.agents.insert(key.clone(), (kv.rev, decode_agent(kv)));
                 changed = true;
             }
         }
@@ -104,7 +104,7 @@
 
 /// Reads an agent's entry. One that cannot be read, or that names another VM
 /// than its key, names no agent; the others hold.
-fn announced(kv: &Kv) -> Option<Announced> {
+fn decode_agent(kv: &Kv) -> Option<Announced> {
     let (reason, error) = match serde_json::from_slice::<Announced>(&kv.value) {
         Ok(a) if kv.key.strip_prefix(AGENT_PREFIX) == Some(&a.addr.ip().to_string()) => {
             return Some(a);
@@ -123,23 +123,23 @@
 /// Applies what the operators wrote, unless something newer is in force.
 fn apply_config(steer: &mut Steer, kv: &Kv) {
     match platform::config::decode(&kv.value) {
-        Ok(routes) => apply(steer, routes, kv.rev, 0),
-        Err(e) => log_rejected(kv, &e),
+        Ok(routes) => apply_routes(steer, routes, kv.rev, 0),
+        Err(e) => log_unreadable_config(kv, &e),
     }
 }
 
 /// Applies `routes`, of which `parts` parts were read anew.
-fn apply(steer: &mut Steer, routes: Routes, rev: i64, parts: usize) {
+fn apply_routes(steer: &mut Steer, routes: Routes, rev: i64, decoded_parts: usize) {
     let (version, n) = (routes.version, routes.routes.len());
     if steer.apply_routes(routes) {
         log::info!(
-            event = events::EDGE_CONFIG, version = version, routes = n, rev = rev, parts = parts;
+            event = events::EDGE_CONFIG, version = version, routes = n, rev = rev, parts = decoded_parts;
             "configuration in force"
         );
     }
 }
 
-fn log_rejected(kv: &Kv, e: &dyn std::fmt::Display) {
+fn log_unreadable_config(kv: &Kv, e: &dyn std::fmt::Display) {
     metrics::dropped("configuration_unreadable");
     log::error!(
         event = events::EDGE_CONFIG, key:% = kv.key, rev = kv.rev, error:% = format!("{e:#}");
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -13,7 +13,7 @@
 
 /// Most datagrams read at one wake-up, so that timers and the other socket
 /// get their turn.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// One socket with its buffers.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
 
 impl Socket {
     /// A socket at `addr`, which is for `what`.
-    pub async fn bind(addr: SocketAddrV4, what: &str) -> anyhow::Result<Self> {
+    pub async fn bind(addr: SocketAddrV4, purpose: &str) -> anyhow::Result<Self> {
         let sock =
-            UdpSocket::bind(addr).await.with_context(|| format!("binding {addr} for {what}"))?;
+            UdpSocket::bind(addr).await.with_context(|| format!("binding {addr} for {purpose}"))?;
         Ok(Self { sock })
     }
 
@@ -38,10 +38,14 @@
 
     /// Hands the datagrams that are there to `take`, a batch at most; says
     /// whether that was all of them.
-    pub fn drain(&self, buf: &mut [u8], mut take: impl FnMut(&mut [u8], SocketAddrV4)) -> bool {
-        for _ in 0..BATCH {
+    pub fn read_batch(
+        &self,
+        buf: &mut [u8],
+        mut handle: impl FnMut(&mut [u8], SocketAddrV4),
+    ) -> bool {
+        for _ in 0..MAX_BATCH {
             match self.sock.try_recv_from(buf) {
-                Ok((n, SocketAddr::V4(from))) => take(&mut buf[..n], from),
+                Ok((n, SocketAddr::V4(from))) => handle(&mut buf[..n], from),
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) => {
@@ -56,12 +60,12 @@
 
     /// Sends a packet of a flow; one that the socket cannot take now is lost, as
     /// datagrams may be, and is sent again by the flow's ends.
-    pub fn send(&self, to: SocketAddrV4, bytes: &[u8]) {
+    pub fn send_packet(&self, to: SocketAddrV4, bytes: &[u8]) {
         load::carried(bytes.len());
-        self.put(to, bytes);
+        self.try_send(to, bytes);
     }
 
-    fn put(&self, to: SocketAddrV4, bytes: &[u8]) {
+    fn try_send(&self, to: SocketAddrV4, bytes: &[u8]) {
         if let Err(e) = self.sock.try_send_to(bytes, to.into()) {
             if e.kind() == ErrorKind::WouldBlock {
                 load::refused();
@@ -71,7 +75,7 @@
     }
 
     /// Sends one message, followed by a caller's packet.
-    pub fn message(
+    pub fn send_message(
         &self,
         to: SocketAddrV4,
         message: &Message<'_>,
@@ -85,7 +89,7 @@
                 } else {
                     load::message(buf.len());
                 }
-                self.put(to, buf);
+                self.try_send(to, buf);
             }
             Err(e) => {
                 log::warn!(event = events::DATAGRAM_FAILED, to:% = to, error:% = e; "not encoded")
