--- a/src/record/mod.rs
+++ b/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! The values jujubepost keeps in the key-value service, as JSON.
+//! Records in the key-value store, encoded as JSON.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,49 +7,49 @@
 
 use crate::settings::{ProfileSettings, Service};
 
-/// A profile as written by an operator.
+/// A profile, written by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
-    /// The profile itself.
+    /// The profile's settings.
     #[serde(flatten)]
     pub spec: ProfileSettings,
-    /// Random identifier of the write, so that a writer whose answer was
-    /// lost can tell whether its own write took effect.
+    /// Random identifier of the write. After a lost response, the writer reads
+    /// it back to learn whether the write took effect.
     #[serde(rename = "writer")]
     pub write_id: u64,
 }
 
-/// A target's announcement, written by its agent under a lease.
+/// A target's registration, written by its agent under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The target's name.
+    /// Name of the target.
     pub name: Arc<str>,
     /// Its data centre.
     pub zone: Arc<str>,
     /// The service it runs.
     pub service: Service,
-    /// UDP address of its agent.
+    /// UDP address of the agent.
     pub agent: SocketAddr,
-    /// Its agent is on a planned stop: no new flows, and no hold when the
-    /// announcement goes.
+    /// Whether the agent is in a planned stop: the target gets no new flows, and
+    /// its flows are not held when the registration is removed.
     #[serde(default, rename = "leaving")]
     pub stopping: bool,
 }
 
-/// A drain order, written by an operator.
+/// An order to drain a target, written by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Milliseconds since the Unix epoch when the order was given.
+    /// Time of the order, in milliseconds since the Unix epoch.
     pub since_ms: u64,
 }
 
-/// A balancer's announcement, under a lease.
+/// A balancer's registration, written under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Balancer {
-    /// The balancer's name.
+    /// Name of the balancer.
     pub name: Arc<str>,
     /// Its data centre.
     pub zone: Arc<str>,
-    /// Its UDP address.
+    /// UDP address of the balancer.
     pub addr: SocketAddr,
 }
--- a/src/refusal/mod.rs
+++ b/src/refusal/mod.rs
@@ -1,12 +1,12 @@
-//! The answer that a refused caller gets at once: its request did not run,
-//! and when to come back.
+//! The HTTP response to a refused caller: the request was not executed and may
+//! be retried after a delay.
 
 use crate::metrics::Refusal;
 
-/// Seconds a refused caller is told to wait before it comes back.
+/// Value of the `Retry-After` header, in seconds.
 pub const RETRY_AFTER_S: u32 = 1;
 
-/// HTTP 503 with the reason and a time to come back.
+/// Returns an HTTP 503 response that states the reason and the retry delay.
 #[must_use]
 pub fn response(reason: Refusal) -> Vec<u8> {
     format!(
