--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -1,5 +1,5 @@
-//! The balancer on an entry VM: takes callers' packets from the platform's
-//! routers and hands each to an agent, as [`Steer`] decides.
+//! The balancer on an entry VM: receives callers' packets from the platform's
+//! routers and forwards each to an agent, as [`Steer`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -27,21 +27,20 @@
 use crate::store::mirror::{self, News, Source};
 use crate::{events, metrics};
 
-/// Largest packet of a caller, in bytes.
-const MAX_PACKET: usize = 2_048;
+/// Size of the receive buffer; longer datagrams are truncated.
+const RECV_BUFFER_BYTES: usize = 2_048;
 
-/// How long a stopping balancer forwards after it said that it is not ready:
-/// the routers ask twice a second and need two misses, so after 1 s at the
-/// latest they hand it nothing new; the rest is for packets on their way. Not
-/// longer: meanwhile its data centre has one balancer less.
+/// How long a stopping balancer keeps forwarding after it reports itself not
+/// ready. Must cover the routers' health checks and packets in flight; a larger
+/// value delays the stop.
 const STOP_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Pause between a change of the store and the question for the next, so that
-/// changes that come together are read in one call.
+/// Delay between a change and the next watch call, so that one call reads a burst
+/// of changes. A larger value delays the later changes of a burst.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest sleep without a timer due, so that old flows are forgotten and pauses of the
-/// process are noticed.
+/// Longest wait of the forwarding loop, so that idle flows expire and pauses of
+/// the process are detected without traffic.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 struct Sockets {
@@ -49,7 +48,7 @@
     bus: Socket,
 }
 
-/// The sockets with a buffer to encode messages in.
+/// Sends through `sockets`; `buf` is reused to encode messages.
 struct PacketSender<'a> {
     sockets: &'a Sockets,
     caller_port: u16,
@@ -67,16 +66,17 @@
     }
 }
 
-/// Runs the balancer until it is told to stop.
+/// Runs the balancer until SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails when the settings are refused or an address is taken.
+/// Fails when the settings are invalid, the store client cannot be created or an
+/// address cannot be bound.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
     let sockets = Sockets {
-        packets: Socket::bind(settings.packets, "callers' packets").await?,
-        bus: Socket::bind(settings.bus_addr(), "agents").await?,
+        packets: Socket::bind(settings.packets, "packets of callers").await?,
+        bus: Socket::bind(settings.bus_addr(), "messages of agents").await?,
     };
     let board = Board::new(settings.name.clone(), platform::config::PREFIX.into());
     let admin_server = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
@@ -100,7 +100,7 @@
         .await?;
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = steer.borrow().remembered();
-        "balancer stops"
+        "balancer is stopping"
     );
     steer.borrow_mut().stop();
     board.set_ready(false);
@@ -115,8 +115,7 @@
     Ok(())
 }
 
-/// Has the balancer's view follow what the store says, for as long as the task
-/// runs.
+/// Starts the task that applies the store's changes to `steer` and runs the relay.
 async fn follow_store(
     settings: &Settings,
     steer: &Rc<RefCell<Steer>>,
@@ -139,27 +138,30 @@
     Ok(tokio::task::spawn_local(async move {
         let mut lost = false;
         let mut reader = SnapshotReader::default();
-        let narrow_prefix = |copy: &Snapshot| {
-            let prefix = relay.narrow_prefix(copy, steer.borrow().version());
+        let narrow_prefix = |snapshot: &Snapshot| {
+            let prefix = relay.narrow_prefix(snapshot, steer.borrow().version());
             metrics::state("follows_parts", prefix.is_some().into());
             prefix
         };
         let follow = mirror::follow(&source, narrow_prefix, |news| match news {
-            News::Copy(copy) => {
-                reader.apply_snapshot(&mut steer.borrow_mut(), copy);
+            News::Copy(snapshot) => {
+                reader.apply_snapshot(&mut steer.borrow_mut(), snapshot);
                 board.set_ready(steer.borrow().ready());
-                let copy = Arc::new(copy.clone());
-                board.set_copy(copy.clone());
-                snapshots.send_replace(Some(copy));
+                let snapshot = Arc::new(snapshot.clone());
+                board.set_copy(snapshot.clone());
+                snapshots.send_replace(Some(snapshot));
             }
             News::Back => {
                 steer.borrow_mut().see(true, Instant::now());
-                log::info!(event = events::EDGE_STORE, after_loss = lost; "store answers");
+                log::info!(event = events::EDGE_STORE, after_loss = lost; "store is reachable");
                 lost = false;
             }
             News::Failed(e) if !lost => {
                 steer.borrow_mut().see(false, Instant::now());
-                log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "store lost");
+                log::warn!(
+                    event = events::EDGE_STORE, error:% = format!("{e:#}");
+                    "store call failed; keeping the last snapshot and retrying"
+                );
                 snapshots.send_replace(None);
                 lost = true;
             }
@@ -193,7 +195,7 @@
     .await
 }
 
-/// Forwards packets until told otherwise.
+/// Forwards packets until the future is dropped.
 async fn forward(
     sockets: &Sockets,
     steer: &RefCell<Steer>,
@@ -201,7 +203,7 @@
     board: &Board,
     refresh: &Notify,
 ) {
-    let mut buf = vec![0; MAX_PACKET];
+    let mut buf = vec![0; RECV_BUFFER_BYTES];
     let mut scratch = Vec::with_capacity(bus::DATAGRAM);
     loop {
         let before = Instant::now();
@@ -219,10 +221,9 @@
             steer.resume(paused);
             refresh.notify_one();
         }
-        // Agents' answers before callers' packets, and no timeout before every
-        // answer that has come was read: on a busy VM a caller's next packet
-        // would overtake the note of its open, and answers in the queue would
-        // count as missing.
+        // Read agents' answers before callers' packets, so that no packet
+        // overtakes the answer about its flow, and run timers only once all
+        // answers are read, so that queued answers do not count as missing.
         let all_read =
             sockets.bus.read_batch(&mut buf, |datagram, from| match bus::decode(datagram) {
                 Ok((message, _)) => steer.message(from, &message, now, &mut out),
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -1,6 +1,6 @@
-//! What a running process tells its operators over HTTP, at its VM's address
-//! and the metrics port: `/metrics`, in the format that Prometheus reads, and
-//! `/beliefs` (with `?flow=CALLER>SERVICE`, where that flow goes and why).
+//! HTTP endpoints for operators, on the metrics port: `/metrics` in the Prometheus
+//! text format, and `/beliefs`, the process's state as JSON. With
+//! `?flow=CALLER>SERVICE` it includes where that flow goes and why.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use crate::listen::{Answer, Server};
 use crate::metrics;
 
-/// A process that can be asked what it believes.
+/// A process whose state can be inspected.
 pub trait Inspect {
-    /// Its beliefs, with that on `flow` where given.
+    /// Returns the state as JSON, with that of `flow` if given.
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value;
 
-    /// Sets the gauges of its state.
+    /// Updates the gauges of the state.
     fn publish_gauges(&self);
 }
 
-/// Serves metrics and beliefs of `process`.
+/// Serves the metrics and the state of `process`.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken.
+/// Fails when the address cannot be bound.
 pub async fn serve<P: Inspect + 'static>(
     settings: &Settings,
     process: Rc<RefCell<P>>,
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,7 +1,6 @@
-//! The product's roles on the users' platform: the balancer on an entry VM
-//! ([`entry`]) and the agent beside a target ([`sidecar`]). They own sockets,
-//! clocks and the store; what to do with a packet is decided by
-//! [`crate::steer`] and [`crate::hold`].
+//! The processes on the platform: the balancer on an entry VM ([`entry`]) and the
+//! agent beside a target ([`sidecar`]). They do the I/O and read the clock;
+//! [`crate::steer`] and [`crate::hold`] decide what happens to a packet.
 
 pub mod entry;
 mod inspect;
@@ -26,31 +25,30 @@
 use crate::listen::Server;
 use crate::{events, metrics, platform};
 
-/// Prefix of the agents' entries in the store.
+/// Prefix of the agents' registrations in the store.
 pub const AGENT_PREFIX: &str = "jujubepost/agents/";
 
-/// Timeout of one call to the store. It answers in milliseconds; a call that
-/// was lost is made again within the second that a change may take.
+/// Timeout of one call to the store. A larger value delays the retry of a lost
+/// call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long one watch waits. A service that went silent is found 0.5 s after
-/// this, so that a change of the configuration is still in force within 3 s
-/// of the 4 s after which a process counts as in touch.
+/// How long one watch call waits for a change. A larger value means fewer calls,
+/// but a store that has stopped responding is detected later.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Time to live of an agent's entry: long, since agents that die are found by
-/// their silence, and each renewal, at a third of this, is a call.
+/// Lease of an agent's registration, renewed at a third of it. Long, to save
+/// calls: balancers detect a dead agent by its missing answers, not by the lease.
 const AGENT_LEASE_MS: u64 = 300_000;
 
 async fn connect_store(settings: &Settings) -> anyhow::Result<platform::kv::Client> {
     platform::kv::Client::new(settings.store, CALL_TIMEOUT, WATCH_TIMEOUT).await
 }
 
-/// Does `work` until the process is told to stop; reads the settings again
-/// whenever it is told that they changed.
+/// Runs `work` until it completes or SIGTERM arrives. On SIGHUP, checks the
+/// settings file.
 async fn run_until_stopped(path: &Path, work: impl Future<Output = ()>) -> anyhow::Result<()> {
-    let mut term = signal(SignalKind::terminate()).context("signal")?;
-    let mut hup = signal(SignalKind::hangup()).context("signal")?;
+    let mut term = signal(SignalKind::terminate()).context("installing the SIGTERM handler")?;
+    let mut hup = signal(SignalKind::hangup()).context("installing the SIGHUP handler")?;
     tokio::pin!(work);
     loop {
         tokio::select! {
@@ -61,7 +59,7 @@
     }
 }
 
-/// Ends what a role served and logs the totals of all counters.
+/// Stops the process's HTTP servers and logs the counters.
 async fn shut_down(inspect: Server, ready: Option<Server>) {
     inspect.stop().await;
     if let Some(server) = ready {
@@ -70,26 +68,29 @@
     log_counters();
 }
 
-/// Logs the totals of all counters.
 fn log_counters() {
     for c in metrics::snapshot() {
         log::info!(
             event = events::COUNTERS, counter = c.name, reason = c.reason, total = c.value;
-            "total"
+            "counter total at exit"
         );
     }
     log::logger().flush();
 }
 
-/// Reads the settings again and says whether they are good. What a process
-/// was started with stays in force: its addresses and its data centre do not
-/// change while it runs.
+/// Reads the settings file and logs whether it is valid. A running process keeps
+/// the settings that it was started with.
 fn check_settings(path: &Path) {
     match Settings::load(path) {
-        Ok(s) => log::info!(event = events::EDGE_RELOAD, name:% = s.name; "settings read again"),
+        Ok(s) => {
+            log::info!(
+                event = events::EDGE_RELOAD, name:% = s.name;
+                "settings file is valid; it takes effect at the next start"
+            )
+        }
         Err(e) => log::error!(
             event = events::EDGE_RELOAD, error:% = format!("{e:#}");
-            "settings refused, the old ones stay in force"
+            "settings file is invalid; the process keeps its settings"
         ),
     }
 }
--- a/src/edge/pause.rs
+++ b/src/edge/pause.rs
@@ -1,16 +1,17 @@
-//! Detects that the process did not run for a while, because its VM was suspended or had
-//! no processor time: until it has caught up, what it knows is as old as the pause.
+//! Detects pauses of the process, such as a suspended VM or CPU starvation. After
+//! a pause, its state is as old as the pause until it has caught up.
 
 use std::time::{Duration, Instant};
 
 use crate::events;
 use crate::metrics::load;
 
-/// Shortest pause that counts as one.
+/// Shortest delay that counts as a pause. A smaller value reports scheduling
+/// jitter as pauses.
 const MIN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Logs that the process runs only `now`, though a timer was due at `due`; returns how
-/// long it did not run.
+/// Compares `now` with the time `due` at which the process should have run. Logs
+/// and returns the delay if it counts as a pause.
 pub fn detect(due: Instant, now: Instant) -> Option<Duration> {
     let late = now.saturating_duration_since(due);
     if late < MIN_PAUSE {
@@ -18,6 +19,6 @@
     }
     let ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
     load::paused(ms);
-    log::warn!(event = events::EDGE_PAUSED, late_ms = ms; "process did not run");
+    log::warn!(event = events::EDGE_PAUSED, late_ms = ms; "process was paused");
     Some(late)
 }
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -1,4 +1,4 @@
-//! The target's port, tried to learn whether its process runs.
+//! Probes the target's TCP port to learn whether its process runs.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -8,31 +8,35 @@
 use crate::events;
 use crate::hold::{Holder, Out};
 
-/// How long the target's port may take to answer; it is on the same VM.
+/// Timeout of a connection attempt. The target is on the same VM.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What trying the target's port showed.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PortState {
     Open,
     Closed,
+    /// The attempt timed out or failed, which proves nothing.
     Silent,
 }
 
-/// Tries the target's port. Only a refusal proves that its process is over.
+/// Connects to `target`. Only a refused connection proves that no process runs.
 pub(super) async fn probe(target: SocketAddrV4) -> PortState {
     match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await {
         Ok(Ok(_)) => PortState::Open,
         Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => PortState::Closed,
         Ok(Err(e)) => {
-            log::warn!(event = events::EDGE_TARGET, target:% = target, error:% = e; "target's port not tried");
+            log::warn!(
+                event = events::EDGE_TARGET, target:% = target, error:% = e;
+                "probe of the target's port failed"
+            );
             PortState::Silent
         }
         Err(_) => PortState::Silent,
     }
 }
 
-/// What the port of the target showed is noted.
+/// Applies the result of a probe to `holder`.
 pub(super) fn apply_state(
     holder: &mut Holder,
     state: PortState,
@@ -45,7 +49,7 @@
             log::warn!(
                 event = events::EDGE_TARGET, target:% = target, state = "crashed",
                 flows = holder.flows();
-                "target's port is closed"
+                "target's port is closed; its process has ended"
             );
             holder.crashed(out);
         }
@@ -53,7 +57,7 @@
             log::info!(
                 event = events::EDGE_TARGET, target:% = target, state = "silent",
                 port:? = state, waiting = holder.waiting();
-                "target does not answer"
+                "target does not respond, but its process may still run"
             );
             holder.slow(now);
         }
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -1,5 +1,5 @@
-//! The agent's entry in the store: what an earlier process left, the lease that
-//! holds it, and its removal.
+//! The agent's registration in the store: reading what a previous process left,
+//! holding it under a lease, updating and deleting it.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 use crate::store::{Lessor, lease};
 use crate::{events, metrics};
 
-/// Pause before a stopping agent tries again to remove its entry: some ten
-/// tries within the grace of a planned stop.
+/// Delay between two attempts to delete the registration. Must allow several
+/// attempts within the time of a planned stop.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How long an agent waits at its start for what the store knows of it: the
-/// store answers in 4 ms, and the target's callers wait meanwhile.
+/// Timeout of the read at the agent's start. A larger value keeps the target's
+/// callers waiting for longer while the store is unreachable.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Holds the agent's entry, forever, from its target's first report on. An agent
-/// without a target has nothing to take flows for, and holds none: listed, and
-/// gone again without a word, it would hold up the searches of its service.
+/// Holds the registration forever, from the target's first report on. An agent
+/// that registers without a target and disappears would delay the searches for
+/// flows of its service.
 pub(super) async fn hold_registration(
     store: platform::kv::Client,
     key: String,
@@ -32,41 +32,49 @@
     lease_check: Rc<Notify>,
 ) {
     if values.changed().await.is_err() {
-        log::error!(event = events::EDGE_STORE, key = key; "entry has no writer");
+        log::error!(
+            event = events::EDGE_STORE, key = key;
+            "agent cannot register: the source of its record has closed"
+        );
         return;
     }
     lease::hold(&store, &key, values, AGENT_LEASE_MS, &lease_check).await;
 }
 
-/// Removes the entry of an agent whose target is over, and tries for as long as
-/// `time_limit` where the store does not answer. An entry that is left names the agent
-/// until its lease lapses; balancers that start meanwhile wait 4 s for its word
-/// before they take any flow of the service as lost.
+/// Deletes the registration of an agent whose target has ended, retrying for up to
+/// `time_limit`. A registration that stays until its lease expires makes balancers
+/// that start meanwhile wait for this agent before they give up a flow.
 pub(super) async fn deregister(store: &platform::kv::Client, key: &str, time_limit: Duration) {
     let removed = tokio::time::timeout(time_limit, async {
         while let Err(e) = store.delete(key).await {
-            log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "entry not removed");
+            log::warn!(
+                event = events::EDGE_STORE, error:% = format!("{e:#}");
+                "deleting the registration failed; retrying"
+            );
             tokio::time::sleep(RETRY_DELAY).await;
         }
     });
     if removed.await.is_err() {
-        log::error!(event = events::EDGE_STORE, key = key; "entry left to its lease");
+        log::error!(
+            event = events::EDGE_STORE, key = key;
+            "registration was not deleted; it expires with its lease"
+        );
     }
 }
 
-/// The agent's entry in the store.
+/// The agent's registration in the store.
 pub(super) struct Registration {
     pub(super) record: Announced,
-    /// Where the target takes packets.
+    /// Address at which the target receives packets.
     pub(super) target: SocketAddrV4,
     pub(super) value: watch::Sender<Vec<u8>>,
-    /// Has the entry's lease looked at.
+    /// Requests a check that the registration still exists.
     pub(super) lease_check: Rc<Notify>,
 }
 
 impl Registration {
-    /// Writes down the target's start, so that the next process here knows for
-    /// which one this process took flows.
+    /// Stores the target's current start, so that a restarted agent knows which
+    /// start its predecessor served.
     pub(super) fn set_target_start(&self, start: Start) {
         let record = Announced { target: Some(start), ..self.record.clone() };
         match serde_json::to_vec(&record) {
@@ -78,43 +86,57 @@
                     }
                 });
             }
-            Err(e) => log::error!(event = events::EDGE_STORE, error:% = e; "entry not encoded"),
+            Err(e) => {
+                log::error!(
+                    event = events::EDGE_STORE, error:% = e;
+                    "encoding the registration failed; not updated"
+                )
+            }
         }
     }
 }
 
-/// What the store says of the agent at its start, if it answers at once.
+/// Reads the registration that a previous process of this agent left.
 pub(super) async fn read_previous(store: &platform::kv::Client, key: &str) -> Previous {
     let read = tokio::time::timeout(READ_TIMEOUT, store.get(key)).await;
     let kv = match read {
         Ok(Ok(Some(kv))) => kv,
         Ok(Ok(None)) => return Previous::Absent,
         Ok(Err(e)) => {
-            log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "entry not read");
+            log::warn!(
+                event = events::EDGE_STORE, error:% = format!("{e:#}");
+                "reading the previous registration failed; starting without it"
+            );
             return Previous::Unknown;
         }
         Err(_) => {
-            log::warn!(event = events::EDGE_STORE, key = key; "entry not read in time");
+            log::warn!(
+                event = events::EDGE_STORE, key = key;
+                "reading the previous registration timed out; starting without it"
+            );
             return Previous::Unknown;
         }
     };
     match serde_json::from_slice::<Announced>(&kv.value) {
-        Ok(entry) => Previous::Present(entry.target),
+        Ok(record) => Previous::Present(record.target),
         Err(e) => {
             metrics::dropped("entry_unreadable");
-            log::error!(event = events::EDGE_STORE, key = key, error:% = e; "entry refused");
+            log::error!(
+                event = events::EDGE_STORE, key = key, error:% = e;
+                "previous registration cannot be decoded; starting without it"
+            );
             Previous::Unknown
         }
     }
 }
 
-/// An earlier process of the agent, as the store tells of it.
+/// The registration of a previous process of this agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Previous {
-    /// The store did not answer at once, or not in words.
+    /// It could not be read or decoded.
     Unknown,
-    /// It lists none.
+    /// There is none.
     Absent,
-    /// It lists one, and the target's start for which that took flows.
+    /// The start of the target that the previous process served, if known.
     Present(Option<Start>),
 }
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -1,4 +1,4 @@
-//! Carries out what [`Relay`] decides: holds the relay's key and transaction the
+//! Carries out the decisions of [`Relay`]: holds the relay's key and publishes the
 //! configuration in parts.
 
 use std::cell::RefCell;
@@ -15,54 +15,65 @@
 use crate::steer::Steer;
 use crate::store::{Lessor, Snapshot, lease};
 
-/// Time to live of a relay's key. When the relay dies, its data centre follows
-/// in full again after this; a change is to be in force within 5 s.
+/// Lease of a relay's key. A larger value delays the failover to another relay,
+/// and thus configuration changes, after a relay has died.
 const RELAY_LEASE_MS: u64 = 2_000;
 
-/// Longest pause, drawn at random, before a balancer campaigns to be the relay, so that
-/// few of a data centre write their keys before the others see one.
+/// Upper bound of the random delay before a balancer becomes the relay. A smaller
+/// value lets more balancers of a data centre become relays at once.
 const MAX_CAMPAIGN_DELAY: Duration = Duration::from_millis(500);
 
-/// Pause before parts that could not be written are written again.
+/// Delay before publishing is retried after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Does the relay's work, forever; `snapshots` brings the store's keys, none while
-/// the store is lost.
+/// Becomes or ceases to be the relay as [`Relay`] decides, until `snapshots`
+/// closes. The latest snapshot is `None` while the store is unreachable.
 pub async fn run(
     store: Client,
     relay: Relay,
     steer: Rc<RefCell<Steer>>,
     mut snapshots: watch::Receiver<Option<Arc<Snapshot>>>,
 ) {
-    // Held for as long as this runs; dropping it ends the task.
-    let mut key_task = JoinSet::new();
+    // Keeps the key's lease while this balancer is the relay; dropping the set
+    // aborts the task.
+    let mut lease_task = JoinSet::new();
     loop {
-        let copy = snapshots.borrow_and_update().clone();
-        let should_relay =
-            |copy: &Option<Arc<Snapshot>>| copy.as_ref().is_some_and(|c| relay.should_relay(c));
-        if should_relay(&copy) && key_task.is_empty() {
+        let snapshot = snapshots.borrow_and_update().clone();
+        let should_relay = |snapshot: &Option<Arc<Snapshot>>| {
+            snapshot.as_ref().is_some_and(|c| relay.should_relay(c))
+        };
+        if should_relay(&snapshot) && lease_task.is_empty() {
             tokio::time::sleep(MAX_CAMPAIGN_DELAY.mul_f64(rand::random())).await;
             if should_relay(&snapshots.borrow()) {
-                log::info!(event = events::EDGE_RELAY, key = relay.key(), relay = true; "relay");
-                key_task.spawn_local(hold_key(store.clone(), relay.key().to_string()));
+                log::info!(
+                    event = events::EDGE_RELAY, key = relay.key(), relay = true;
+                    "balancer became the relay of its data centre"
+                );
+                lease_task.spawn_local(hold_key(store.clone(), relay.key().to_string()));
             }
             continue;
         }
-        if !should_relay(&copy) && !key_task.is_empty() {
-            key_task.shutdown().await;
-            log::info!(event = events::EDGE_RELAY, key = relay.key(), relay = false; "not relay");
-            // While the store is lost the key lapses by itself.
-            if copy.is_some() {
+        if !should_relay(&snapshot) && !lease_task.is_empty() {
+            lease_task.shutdown().await;
+            log::info!(
+                event = events::EDGE_RELAY, key = relay.key(), relay = false;
+                "balancer is no longer the relay of its data centre"
+            );
+            // Without a store the key expires with its lease.
+            if snapshot.is_some() {
                 remove_key(&store, &relay).await;
             }
         }
-        let published = match &copy {
-            Some(copy) => publish_parts(&store, &relay, &steer, copy).await,
+        let published = match &snapshot {
+            Some(snapshot) => publish_parts(&store, &relay, &steer, snapshot).await,
             None => Ok(()),
         };
         let failed = published.is_err();
         if let Err(e) = published {
-            log::warn!(event = events::EDGE_RELAY, error:% = format!("{e:#}"); "parts not written");
+            log::warn!(
+                event = events::EDGE_RELAY, error:% = format!("{e:#}");
+                "publishing the configuration in parts failed; retrying"
+            );
         }
         tokio::select! {
             changed = snapshots.changed() => if changed.is_err() { return },
@@ -72,28 +83,30 @@
 }
 
 async fn hold_key(store: Client, key: String) {
-    // The key says all; its value is never changed.
+    // Only the presence of the key matters; its value is empty.
     let (_value, values) = watch::channel(Vec::new());
     lease::hold(&store, &key, values, RELAY_LEASE_MS, &Notify::new()).await;
 }
 
 async fn remove_key(store: &Client, relay: &Relay) {
     if let Err(e) = store.delete(relay.key()).await {
-        // It lapses with its lease.
-        log::warn!(event = events::EDGE_RELAY, error:% = format!("{e:#}"); "key not removed");
+        log::warn!(
+            event = events::EDGE_RELAY, error:% = format!("{e:#}");
+            "relay's key was not deleted; it expires with its lease"
+        );
     }
 }
 
-/// Publishes what the store does not have yet of the configuration in force. Where
-/// another relay was first, the next copy shows it.
+/// Publishes the parts of the configuration in force that changed. If another relay
+/// was first, nothing is written and the next snapshot has its parts.
 async fn publish_parts(
     store: &Client,
     relay: &Relay,
     steer: &RefCell<Steer>,
-    copy: &Snapshot,
+    snapshot: &Snapshot,
 ) -> anyhow::Result<()> {
     let (pending, version) = match steer.borrow().routes() {
-        Some(routes) => (relay.pending_transaction(copy, routes)?, routes.version),
+        Some(routes) => (relay.pending_transaction(snapshot, routes)?, routes.version),
         None => return Ok(()),
     };
     let Some(transaction) = pending else { return Ok(()) };
@@ -103,7 +116,7 @@
     log::info!(
         event = events::EDGE_RELAY, version = version, parts = transaction.puts.len(),
         removed = transaction.deletes.len(), first = committed;
-        "configuration published in parts"
+        "update of the configuration parts sent to the store"
     );
     Ok(())
 }
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -1,4 +1,4 @@
-//! The desk at which a target reports itself to its agent.
+//! The HTTP endpoint at which a target reports its state to its agent.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::platform::report;
 use crate::{events, metrics};
 
-/// Takes the target's reports.
+/// Serves the endpoint and applies each report to `holder`.
 pub(super) async fn serve(
     addr: SocketAddr,
     holder: Rc<RefCell<Holder>>,
@@ -34,7 +34,7 @@
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state:% = state, report = seq,
                     flows = holder.flows();
-                    "target reports"
+                    "target reported a new state"
                 );
                 registration.set_target_start(start);
             }
@@ -45,7 +45,7 @@
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state = "gone",
                     flows = holder.flows();
-                    "target ends"
+                    "target deregistered"
                 );
             }
             Answer::json(report::ANSWER.to_string())
@@ -53,7 +53,10 @@
         Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
         Err(e) => {
             metrics::dropped("report_unreadable");
-            log::warn!(event = events::REPORT_IGNORED, error:% = format!("{e:#}"); "report refused");
+            log::warn!(
+                event = events::REPORT_IGNORED, error:% = format!("{e:#}");
+                "report of the target cannot be decoded; ignored"
+            );
             Answer::empty(StatusCode::BAD_REQUEST)
         }
     }
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of one process on the platform, in JSON with comments. The
-//! platform renders them from the template `deploy/settings.jsonc`, at every
-//! start and whenever they change.
+//! Settings of one process on the platform, read from JSON with comments. The
+//! platform renders the file from the template `deploy/settings.jsonc` at every
+//! start and whenever a value changes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::Path;
@@ -12,62 +12,61 @@
 
 use crate::policy::{Policy, Steering};
 
-/// Default size, in KiB, from which on the configuration is handed on in
-/// parts: some 1,000 routes. At 15,000 changes a day for 2,200 routes, 1,000
-/// routes change 0.08 times a second; read in full each time, that is 27 KB a
-/// second of the 22 that control may take.
+/// Default of [`Settings::relay_kib`].
 const RELAY_KIB: usize = 256;
 
 /// Settings of one process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// The process's name, for logs.
+    /// Name of the process, for logs.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub zone: Arc<str>,
-    /// The VM's address.
+    /// IP address of the VM.
     pub ip: Ipv4Addr,
-    /// First and last port for what the system's processes say to each other.
+    /// First and last port for messages between balancers and agents.
     pub ports: (u16, u16),
-    /// Where packets of callers come in; its port is also the one at which
-    /// callers take packets.
+    /// Address at which callers' packets arrive. Callers receive packets on the
+    /// same port.
     pub packets: SocketAddrV4,
-    /// Where the platform asks for readiness.
+    /// Address of the readiness endpoint.
     pub ready: Option<SocketAddr>,
-    /// Where the target's packets come in (agents).
+    /// Address at which the target's packets arrive (agents only).
     pub outbound: Option<SocketAddrV4>,
-    /// Where the target's reports come in (agents).
+    /// Address of the endpoint for the target's reports (agents only).
     pub reports: Option<SocketAddr>,
-    /// The target (agents).
+    /// Address of the target (agents only).
     pub target: Option<SocketAddrV4>,
-    /// The service of the target (agents).
+    /// Service that the target runs (agents only).
     pub service: Option<Arc<str>>,
-    /// Port of the metrics.
+    /// Port of the metrics and inspection endpoints.
     pub metrics: u16,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value store.
     pub store: SocketAddr,
-    /// Some of the balancers, by any of their TCP addresses.
+    /// TCP addresses of some balancers; only the IP addresses are used.
     pub seeds: Vec<SocketAddr>,
-    /// From what size on, in KiB, the configuration is handed on in parts.
+    /// Least size of a configuration that a relay publishes in parts, in KiB. A
+    /// larger value means that larger ones are watched whole by every balancer.
     pub relay_kib: usize,
-    /// The VM's share of a core.
+    /// Share of a CPU core that the VM has.
     pub cpu_share: f64,
-    /// The VM's link, in Mbit/s.
+    /// Bandwidth of the VM's link, in Mbit/s.
     pub link_mbps: f64,
-    /// The platform's time bounds.
+    /// Time limits set by the platform.
     pub bounds: TimeLimits,
-    /// What decides under load and trouble.
+    /// Limits and timeouts under overload and failures.
     pub policy: Policy,
 }
 
-/// The platform's time bounds.
+/// Time limits set by the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimeLimits {
-    /// Longest planned stop, in seconds.
+    /// Grace period of a planned stop, in seconds.
     pub grace_s: f64,
-    /// Longest life of a flow, in seconds.
+    /// Longest lifetime of a flow, in seconds. A flow without packets is forgotten
+    /// after this time.
     pub flow_s: f64,
 }
 
@@ -108,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read or is no JSON with comments, and
-    /// names the field that is unknown, of the wrong type or out of range.
+    /// Fails when the file cannot be read or parsed. The error names a field that
+    /// is unknown, of the wrong type or out of range.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
         crate::settings::load(path, Self::parse)
     }
@@ -142,20 +141,20 @@
             ("link_mbps", self.link_mbps),
         ] {
             if !(value > 0.0 && value < 1e6) {
-                bail!("field `{field}`: must be above 0");
+                bail!("field `{field}`: must be above 0 and below 1,000,000");
             }
         }
         self.policy.check()
     }
 
-    /// Where this process takes what the system's other processes say.
+    /// Address at which this process receives messages of balancers and agents.
     #[must_use]
     pub const fn bus_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.ports.0)
     }
 
-    /// Where the seeds, but for this process, hand over their copies of the
-    /// store's keys.
+    /// Addresses at which the seeds, without this process, serve their snapshots of
+    /// the store.
     #[must_use]
     pub fn peer_addrs(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().map(SocketAddr::ip).filter(|ip| *ip != IpAddr::V4(self.ip));
@@ -168,19 +167,19 @@
         Duration::from_secs_f64(self.bounds.flow_s)
     }
 
-    /// From how many bytes on the configuration is handed on in parts.
+    /// Least size of a configuration that is published in parts, in bytes.
     #[must_use]
     pub const fn relay_min_bytes(&self) -> usize {
         self.relay_kib * 1_024
     }
 
-    /// What a balancer on this VM goes by.
+    /// Balancer policy, scaled to the VM's link and CPU share.
     #[must_use]
     pub fn steering(&self) -> Steering {
         self.policy.steer.clone().fit(self.link_mbps, self.cpu_share)
     }
 
-    /// Longest planned stop.
+    /// Grace period of a planned stop.
     #[must_use]
     pub fn stop_grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s)
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -1,5 +1,5 @@
-//! The agent beside a target: hands it the packets of its flows, sends its
-//! packets to the callers, and takes its reports, as [`Holder`] decides.
+//! The agent beside a target: delivers the packets of its flows, sends its replies
+//! to the callers and receives its reports, as [`Holder`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -25,29 +25,28 @@
 use crate::steer::Announced;
 use crate::{events, metrics};
 
-/// Largest packet, in bytes.
-const MAX_PACKET: usize = 2_048;
+/// Size of the receive buffer; longer datagrams are truncated.
+const RECV_BUFFER_BYTES: usize = 2_048;
 
-/// Part of the platform's longest planned stop that an agent uses at most to
-/// let its target finish what it works on.
+/// Fraction of the stop grace period that the agent may wait for its target to
+/// finish work in progress.
 const STOP_FRACTION: f64 = 0.75;
 
-/// How long an agent whose target has ended answers on after it removed its entry:
-/// until every balancer has seen that (0.3 s) and asked it once more. One that went
-/// silent first would hold up the searches of its service, as it might hold a flow.
+/// How long an agent whose target has ended keeps answering after it has
+/// deregistered. Must cover the time until all balancers see the deletion: a silent
+/// agent that is still registered delays searches for flows of its service.
 const DEREGISTERED_DELAY: Duration = Duration::from_millis(600);
 
-/// How often a stopping agent looks whether its target is done.
+/// Interval at which a stopping agent checks whether its target is idle.
 const IDLE_POLL: Duration = Duration::from_millis(50);
 
-/// Least pause between two writes of the agent's entry that balancers ask
-/// for: their views lag the store by some milliseconds.
+/// Least interval between two repeated writes of the registration. Balancers lag
+/// behind the store, so they may report it as missing after it was written.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// After how long without a word of any balancer an agent looks whether its
-/// entry still stands. A balancer that misses the entry says so; one that was
-/// started after the entry had lapsed does not know of the agent. Each look is a
-/// call.
+/// How long no message may arrive before the agent checks its registration:
+/// balancers started after it expired do not know the agent. A smaller value means
+/// more calls to the store.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 struct Sockets {
@@ -61,15 +60,15 @@
     async fn bind(settings: &Settings) -> anyhow::Result<Self> {
         let outbound = settings.outbound.with_context(missing_field("outbound"))?;
         Ok(Self {
-            bus: Socket::bind(settings.bus_addr(), "balancers and agents").await?,
-            outbound: Socket::bind(outbound, "the target's packets").await?,
+            bus: Socket::bind(settings.bus_addr(), "messages of balancers and agents").await?,
+            outbound: Socket::bind(outbound, "packets of the target").await?,
             target: settings.target.with_context(missing_field("target"))?,
             caller_port: settings.packets.port(),
         })
     }
 }
 
-/// The sockets with a buffer to encode messages in.
+/// Sends through `sockets`; `buf` is reused to encode messages.
 struct PacketSender<'a> {
     sockets: &'a Sockets,
     buf: &'a mut Vec<u8>,
@@ -93,11 +92,12 @@
     }
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails when the settings are refused or an address is taken.
+/// Fails when the settings are invalid, the store client cannot be created or an
+/// address cannot be bound.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
     let service = settings.service.clone().with_context(missing_field("service"))?;
@@ -138,7 +138,7 @@
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flows(),
         waiting = holder.borrow().waiting(), target_ended = ended;
-        "agent stops"
+        "agent is stopping"
     );
     registrar.abort();
     let _ = registrar.await;
@@ -149,7 +149,7 @@
             deregister(&store, &key, stop_limit.saturating_sub(DEREGISTERED_DELAY)).await;
             tokio::time::sleep(DEREGISTERED_DELAY).await;
         } else {
-            // Past its time it goes with work in progress.
+            // After the limit the agent stops with work still in progress.
             let _ = tokio::time::timeout(stop_limit, wait_until_idle(&holder)).await;
         }
     };
@@ -179,8 +179,8 @@
     }
 }
 
-/// Whether the target's process is over, for an agent that is told to stop: its
-/// port is tried, as its goodbye may have been lost or be a moment old.
+/// Returns whether the target has ended. Probes its port, because its
+/// deregistration may have been lost or be in flight.
 async fn check_target_ended(sockets: &Sockets, holder: &RefCell<Holder>) -> bool {
     if !holder.borrow().ended() && port::probe(sockets.target).await == PortState::Closed {
         let mut buf = Vec::with_capacity(bus::DATAGRAM);
@@ -207,16 +207,16 @@
     }
 }
 
-/// What came from balancers and other agents.
+/// What one read of the bus socket delivered.
 #[derive(Debug, Default)]
 struct BusActivity {
-    /// Anything came.
+    /// At least one datagram arrived.
     received: bool,
-    /// A balancer does not see the agent's entry in the store.
+    /// A balancer does not see the agent's registration.
     unregistered: bool,
 }
 
-/// Takes what balancers and other agents say.
+/// Passes messages of balancers and other agents to `holder`.
 fn read_bus(
     sockets: &Sockets,
     buf: &mut [u8],
@@ -241,7 +241,7 @@
     activity
 }
 
-/// Takes the target's packets.
+/// Passes the target's packets to `holder`.
 fn read_target_packets(
     sockets: &Sockets,
     buf: &mut [u8],
@@ -255,9 +255,9 @@
     });
 }
 
-/// Forwards packets until told otherwise.
+/// Forwards packets until the future is dropped.
 async fn forward(sockets: &Sockets, holder: &RefCell<Holder>, registration: &Registration) {
-    let mut buf = vec![0; MAX_PACKET];
+    let mut buf = vec![0; RECV_BUFFER_BYTES];
     let mut scratch = Vec::with_capacity(bus::DATAGRAM);
     let mut last_rewrite: Option<Instant> = None;
     let mut probes = JoinSet::new();
@@ -285,7 +285,8 @@
         let mut holder = holder.borrow_mut();
         let mut out = PacketSender { sockets, buf: &mut scratch };
         let now = Instant::now();
-        // Only logged: an agent decides nothing by how long others were silent.
+        // Only logged: an agent's decisions do not depend on how long others were
+        // silent.
         pause::detect(before + wait, now);
         if let Some(port_state) = probed {
             port::apply_state(&mut holder, port_state, sockets.target, now, &mut out);
@@ -302,7 +303,10 @@
             && last_rewrite.is_none_or(|at| now.duration_since(at) >= REWRITE_INTERVAL)
         {
             last_rewrite = Some(now);
-            log::info!(event = events::EDGE_STORE; "entry missing in the store, written again");
+            log::info!(
+                event = events::EDGE_STORE;
+                "registration is missing in the store; writing it again"
+            );
             registration.value.send_modify(|_| {});
         }
     }
--- a/src/edge/snapshot.rs
+++ b/src/edge/snapshot.rs
@@ -1,6 +1,6 @@
-//! Reads what the store's keys say, touching only what changed: each value is
-//! parsed once per revision. A change of one agent's entry must not cost the
-//! parsing of the whole configuration and of every other entry.
+//! Applies snapshots of the store to a balancer's state. Each value is decoded once
+//! per revision, so that a change of one agent does not cost decoding the whole
+//! configuration and all other agents.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,7 +13,7 @@
 use crate::store::{Kv, Snapshot};
 use crate::{events, metrics, platform};
 
-/// What was read so far, by revision.
+/// Decodes snapshots incrementally; caches the decoded values by revision.
 #[derive(Debug, Default)]
 pub struct SnapshotReader {
     config_rev: i64,
@@ -23,31 +23,33 @@
 }
 
 impl SnapshotReader {
-    /// Applies what the store's keys say now to `steer`.
-    pub fn apply_snapshot(&mut self, steer: &mut Steer, copy: &Snapshot) {
-        if let Some(kv) = copy.keys.get(platform::config::KEY)
+    /// Applies the changes since the last snapshot to `steer`.
+    pub fn apply_snapshot(&mut self, steer: &mut Steer, snapshot: &Snapshot) {
+        if let Some(kv) = snapshot.keys.get(platform::config::KEY)
             && kv.rev != self.config_rev
         {
             self.config_rev = kv.rev;
             apply_config(steer, kv);
         }
-        self.apply_parts(steer, copy);
-        if self.decode_agents(copy) {
+        self.apply_parts(steer, snapshot);
+        if self.decode_agents(snapshot) {
             let agents: Vec<Announced> =
                 self.agents.values().filter_map(|(_, a)| a.clone()).collect();
             if steer.roster.update(&agents, Instant::now()) {
                 log::info!(
                     event = events::EDGE_ROSTER, listed = agents.len(),
-                    believed = steer.roster.len(), rev = copy.rev;
-                    "agents listed"
+                    believed = steer.roster.len(), rev = snapshot.rev;
+                    "list of registered agents changed"
                 );
             }
         }
     }
 
-    /// Applies a configuration that a relay published in parts, if it is newer.
-    fn apply_parts(&mut self, steer: &mut Steer, copy: &Snapshot) {
-        let Some((index, rev)) = relay::read_index(copy).filter(|(_, rev)| *rev != self.index_rev)
+    /// Applies the configuration that a relay published in parts, if it is newer
+    /// than the one in force.
+    fn apply_parts(&mut self, steer: &mut Steer, snapshot: &Snapshot) {
+        let Some((index, rev)) =
+            relay::read_index(snapshot).filter(|(_, rev)| *rev != self.index_rev)
         else {
             return;
         };
@@ -55,14 +57,14 @@
             self.index_rev = rev;
             return;
         }
-        // The parts of a listing may be older than its index; the watch after
-        // it brings the rest.
-        let Some(kvs) = relay::consistent_parts(copy, &index) else { return };
+        // A listing may hold an index newer than its parts; the watch that follows
+        // delivers the rest.
+        let Some(kvs) = relay::consistent_parts(snapshot, &index) else { return };
         let mut parts = BTreeMap::new();
         let mut decoded = 0;
         for kv in kvs {
-            let known = self.parts.remove(&kv.key).filter(|(rev, _)| *rev == kv.rev);
-            let part = match known {
+            let cached = self.parts.remove(&kv.key).filter(|(rev, _)| *rev == kv.rev);
+            let part = match cached {
                 Some((_, part)) => part,
                 None => match relay::parts::decode(&kv.value) {
                     Ok(part) => {
@@ -83,13 +85,14 @@
         apply_routes(steer, routes, rev, decoded);
     }
 
-    /// Reads the agents' entries that changed; says whether any did.
-    fn decode_agents(&mut self, copy: &Snapshot) -> bool {
+    /// Decodes the registrations that changed. Returns whether any was added,
+    /// changed or removed.
+    fn decode_agents(&mut self, snapshot: &Snapshot) -> bool {
         let before = self.agents.len();
-        self.agents.retain(|key, _| copy.keys.contains_key(key));
+        self.agents.retain(|key, _| snapshot.keys.contains_key(key));
         let mut changed = self.agents.len() != before;
         let from = (Bound::Included(AGENT_PREFIX), Bound::Unbounded);
-        for (key, kv) in copy.keys.range::<str, _>(from) {
+        for (key, kv) in snapshot.keys.range::<str, _>(from) {
             if !key.starts_with(AGENT_PREFIX) {
                 break;
             }
@@ -102,8 +105,8 @@
     }
 }
 
-/// Reads an agent's entry. One that cannot be read, or that names another VM
-/// than its key, names no agent; the others hold.
+/// Decodes an agent's registration. One that is invalid, or names another VM than
+/// its key, is ignored.
 fn decode_agent(kv: &Kv) -> Option<Announced> {
     let (reason, error) = match serde_json::from_slice::<Announced>(&kv.value) {
         Ok(a) if kv.key.strip_prefix(AGENT_PREFIX) == Some(&a.addr.ip().to_string()) => {
@@ -115,12 +118,12 @@
     metrics::dropped(reason);
     log::error!(
         event = events::EDGE_ROSTER, key:% = kv.key, reason = reason, error:% = error;
-        "agent's entry refused"
+        "agent's registration is invalid; ignored"
     );
     None
 }
 
-/// Applies what the operators wrote, unless something newer is in force.
+/// Applies the operators' configuration, unless a newer one is in force.
 fn apply_config(steer: &mut Steer, kv: &Kv) {
     match platform::config::decode(&kv.value) {
         Ok(routes) => apply_routes(steer, routes, kv.rev, 0),
@@ -128,12 +131,13 @@
     }
 }
 
-/// Applies `routes`, of which `parts` parts were read anew.
+/// Applies `routes`; `decoded_parts` is only logged.
 fn apply_routes(steer: &mut Steer, routes: Routes, rev: i64, decoded_parts: usize) {
     let (version, n) = (routes.version, routes.routes.len());
     if steer.apply_routes(routes) {
         log::info!(
-            event = events::EDGE_CONFIG, version = version, routes = n, rev = rev, parts = decoded_parts;
+            event = events::EDGE_CONFIG, version = version, routes = n, rev = rev,
+            parts = decoded_parts;
             "configuration in force"
         );
     }
@@ -143,6 +147,6 @@
     metrics::dropped("configuration_unreadable");
     log::error!(
         event = events::EDGE_CONFIG, key:% = kv.key, rev = kv.rev, error:% = format!("{e:#}");
-        "configuration refused, the last one stays in force"
+        "configuration cannot be decoded; the last one stays in force"
     );
 }
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -1,5 +1,4 @@
-//! A UDP socket that is read in batches and never makes the process wait to
-//! send.
+//! A UDP socket with batched reads and non-blocking sends.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -11,33 +10,36 @@
 use crate::events;
 use crate::metrics::load;
 
-/// Most datagrams read at one wake-up, so that timers and the other socket
-/// get their turn.
+/// Most datagrams read at one wake-up. A larger value delays timers and the
+/// process's other socket.
 const MAX_BATCH: usize = 64;
 
-/// One socket with its buffers.
+/// A bound UDP socket.
 #[derive(Debug)]
 pub struct Socket {
     sock: UdpSocket,
 }
 
 impl Socket {
-    /// A socket at `addr`, which is for `what`.
+    /// Binds a socket to `addr`; `purpose` is named in the error.
     pub async fn bind(addr: SocketAddrV4, purpose: &str) -> anyhow::Result<Self> {
         let sock =
             UdpSocket::bind(addr).await.with_context(|| format!("binding {addr} for {purpose}"))?;
         Ok(Self { sock })
     }
 
-    /// Waits until a datagram is there.
+    /// Waits until a datagram can be read.
     pub async fn readable(&self) {
         if let Err(e) = self.sock.readable().await {
-            log::warn!(event = events::DATAGRAM_FAILED, error:% = e; "waiting failed");
+            log::warn!(
+                event = events::DATAGRAM_FAILED, error:% = e;
+                "waiting for a datagram failed"
+            );
         }
     }
 
-    /// Hands the datagrams that are there to `take`, a batch at most; says
-    /// whether that was all of them.
+    /// Passes the queued datagrams to `handle`, at most one batch. Returns whether
+    /// the queue is empty.
     pub fn read_batch(
         &self,
         buf: &mut [u8],
@@ -49,8 +51,11 @@
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) => {
-                    // A peer's closed port is reported on the next call.
-                    log::debug!(event = events::DATAGRAM_FAILED, error:% = e; "receiving failed");
+                    // For example an ICMP error caused by an earlier send.
+                    log::debug!(
+                        event = events::DATAGRAM_FAILED, error:% = e;
+                        "receiving a datagram failed"
+                    );
                 }
             }
         }
@@ -58,8 +63,8 @@
         false
     }
 
-    /// Sends a packet of a flow; one that the socket cannot take now is lost, as
-    /// datagrams may be, and is sent again by the flow's ends.
+    /// Sends a packet of a flow. If the socket's buffer is full, the packet is
+    /// dropped; the flow's endpoints retransmit it.
     pub fn send_packet(&self, to: SocketAddrV4, bytes: &[u8]) {
         load::carried(bytes.len());
         self.try_send(to, bytes);
@@ -70,11 +75,14 @@
             if e.kind() == ErrorKind::WouldBlock {
                 load::refused();
             }
-            log::debug!(event = events::DATAGRAM_FAILED, to:% = to, error:% = e; "sending failed");
+            log::debug!(
+                event = events::DATAGRAM_FAILED, to:% = to, error:% = e;
+                "sending a datagram failed; dropped"
+            );
         }
     }
 
-    /// Sends one message, followed by a caller's packet.
+    /// Encodes a message and the packet that it carries, if any, and sends them.
     pub fn send_message(
         &self,
         to: SocketAddrV4,
@@ -92,7 +100,10 @@
                 self.try_send(to, buf);
             }
             Err(e) => {
-                log::warn!(event = events::DATAGRAM_FAILED, to:% = to, error:% = e; "not encoded")
+                log::warn!(
+                    event = events::DATAGRAM_FAILED, to:% = to, error:% = e;
+                    "encoding a message failed; not sent"
+                )
             }
         }
     }
