--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -46,8 +46,8 @@
     pub store: SocketAddr,
     /// TCP addresses of some balancers; only the IP addresses are used.
     pub seeds: Vec<SocketAddr>,
-    /// Least size of a configuration that a relay publishes in parts, in KiB. A
-    /// larger value means that larger ones are watched whole by every balancer.
+    /// Least size of a configuration that a relay publishes in parts, in KiB.
+    /// Every balancer watches a smaller one whole.
     pub relay_kib: usize,
     /// Share of a CPU core that the VM has.
     pub cpu_share: f64,
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -169,7 +169,7 @@
 }
 
 fn missing_field(field: &'static str) -> impl Fn() -> String {
-    move || format!("settings: field `{field}`: an agent needs it")
+    move || format!("settings: field `{field}` is required for an agent")
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
