--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -174,7 +174,7 @@
     if p.kind != PacketKind::Open || p.seq == 0 || !hopeless {
         return Ok(());
     }
-    let answer = ReplyKind::Refuse { body: refusal::page(reason) };
+    let answer = ReplyKind::Refuse { body: refusal::response(reason) };
     let reply = Reply { flow: p.flow, port: p.port, owner: Owner::NONE, kind: answer };
     let Ok(bytes) = wire::encode(&reply) else { return Ok(()) };
     sock.send_to(&bytes, p.reply_to).await.map(drop)
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -1,6 +1,6 @@
-//! What a running process tells its operators over HTTP, at its VM's address
-//! and the metrics port: `/metrics`, in the format that Prometheus reads, and
-//! `/beliefs` (with `?flow=CALLER>SERVICE`, where that flow goes and why).
+//! HTTP endpoints for operators, on the metrics port: `/metrics` in the Prometheus
+//! text format, and `/beliefs`, the process's state as JSON. With
+//! `?flow=CALLER>SERVICE` it includes where that flow goes and why.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,32 +13,32 @@
 use crate::listen::{Answer, Server};
 use crate::metrics;
 
-/// A process that can be asked what it believes.
+/// A process whose state can be inspected.
 pub trait Inspect {
-    /// Its beliefs, with that on `flow` where given.
+    /// Returns the state as JSON, with that of `flow` if given.
     fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value;
 
-    /// Sets the gauges of its state.
-    fn gauge(&self);
+    /// Updates the gauges of the state.
+    fn publish_gauges(&self);
 }
 
-/// Serves metrics and beliefs of `process`.
+/// Serves the metrics and the state of `process`.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken.
+/// Fails when the address cannot be bound.
 pub async fn serve<P: Inspect + 'static>(
     settings: &Settings,
     process: Rc<RefCell<P>>,
 ) -> anyhow::Result<Server> {
     let addr = SocketAddr::new(settings.ip.into(), settings.metrics);
-    Server::start(addr, move |asked| match asked.path.as_str() {
+    Server::start(addr, move |request| match request.path.as_str() {
         "/metrics" => {
-            process.borrow().gauge();
+            process.borrow().publish_gauges();
             metrics::load::publish();
             Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::text() }
         }
-        "/beliefs" => match flow(&asked.query) {
+        "/beliefs" => match parse_flow(&request.query) {
             Ok(flow) => Answer::json(process.borrow().beliefs(flow).to_string()),
             Err(e) => Answer {
                 status: StatusCode::BAD_REQUEST,
@@ -51,7 +51,7 @@
     .await
 }
 
-fn flow(query: &str) -> anyhow::Result<Option<Flow>> {
+fn parse_flow(query: &str) -> anyhow::Result<Option<Flow>> {
     let Some(text) = query.strip_prefix("flow=") else { return Ok(None) };
     text.replace("%3E", ">").parse().map(Some)
 }
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -1,4 +1,4 @@
-//! The target's port, tried to learn whether its process runs.
+//! Probes the target's TCP port to learn whether its process runs.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -8,52 +8,56 @@
 use crate::events;
 use crate::tracker::{FlowTracker, Transmit};
 
-/// How long the target's port may take to answer; it is on the same VM.
-const PROBE: Duration = Duration::from_millis(300);
+/// Timeout of a connection attempt. The target is on the same VM.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What trying the target's port showed.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Port {
+pub(super) enum PortState {
     Open,
     Closed,
+    /// The attempt timed out or failed, which proves nothing.
     Silent,
 }
 
-/// Tries the target's port. Only a refusal proves that its process is over.
-pub(super) async fn probe(target: SocketAddrV4) -> Port {
-    match tokio::time::timeout(PROBE, TcpStream::connect(target)).await {
-        Ok(Ok(_)) => Port::Open,
-        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => Port::Closed,
+/// Connects to `target`. Only a refused connection proves that no process runs.
+pub(super) async fn probe(target: SocketAddrV4) -> PortState {
+    match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await {
+        Ok(Ok(_)) => PortState::Open,
+        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => PortState::Closed,
         Ok(Err(e)) => {
-            log::warn!(event = events::EDGE_TARGET, target:% = target, error:% = e; "target's port not tried");
-            Port::Silent
+            log::warn!(
+                event = events::EDGE_TARGET, target:% = target, error:% = e;
+                "probe of the target's port failed"
+            );
+            PortState::Silent
         }
-        Err(_) => Port::Silent,
+        Err(_) => PortState::Silent,
     }
 }
 
-/// What the port of the target showed is noted.
-pub(super) fn note(
+/// Applies the result of a probe to `holder`.
+pub(super) fn apply_state(
     holder: &mut FlowTracker,
-    found: Port,
+    state: PortState,
     target: SocketAddrV4,
     now: Instant,
     out: &mut impl Transmit,
 ) {
-    match found {
-        Port::Closed => {
+    match state {
+        PortState::Closed => {
             log::warn!(
                 event = events::EDGE_TARGET, target:% = target, state = "crashed",
                 flows = holder.flow_count();
-                "target's port is closed"
+                "target's port is closed; its process has ended"
             );
             holder.mark_target_ended(out);
         }
-        Port::Open | Port::Silent => {
+        PortState::Open | PortState::Silent => {
             log::info!(
                 event = events::EDGE_TARGET, target:% = target, state = "silent",
-                port:? = found, waiting = holder.waiting_count();
-                "target does not answer"
+                port:? = state, waiting = holder.waiting_count();
+                "target does not respond, but its process may still run"
             );
             holder.defer_probe(now);
         }
--- /dev/null
+++ b/src/edge/registration.rs
@@ -0,0 +1,142 @@
+//! The agent's registration in the store: reading what a previous process left,
+//! holding it under a lease, updating and deleting it.
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::{Notify, watch};
+
+use super::AGENT_LEASE_MS;
+use crate::platform;
+use crate::steering::ListedAgent;
+use crate::store::{Lessor, lease};
+use crate::tracker::Incarnation;
+use crate::{events, metrics};
+
+/// Delay between two attempts to delete the registration. Must allow several
+/// attempts within the time of a planned stop.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+
+/// Timeout of the read at the agent's start. A larger value keeps the target's
+/// callers waiting for longer while the store is unreachable.
+const READ_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Holds the registration forever, from the target's first report on. An agent
+/// that registers without a target and disappears would delay the searches for
+/// flows of its service.
+pub(super) async fn hold_registration(
+    store: platform::kv::Client,
+    key: String,
+    mut values: watch::Receiver<Vec<u8>>,
+    lease_check: Rc<Notify>,
+) {
+    if values.changed().await.is_err() {
+        log::error!(
+            event = events::EDGE_STORE, key = key;
+            "agent cannot register: the source of its record has closed"
+        );
+        return;
+    }
+    lease::hold(&store, &key, values, AGENT_LEASE_MS, &lease_check).await;
+}
+
+/// Deletes the registration of an agent whose target has ended, retrying for up to
+/// `time_limit`. A registration that stays until its lease expires makes balancers
+/// that start meanwhile wait for this agent before they give up a flow.
+pub(super) async fn deregister(store: &platform::kv::Client, key: &str, time_limit: Duration) {
+    let removed = tokio::time::timeout(time_limit, async {
+        while let Err(e) = store.delete(key).await {
+            log::warn!(
+                event = events::EDGE_STORE, error:% = format!("{e:#}");
+                "deleting the registration failed; retrying"
+            );
+            tokio::time::sleep(RETRY_DELAY).await;
+        }
+    });
+    if removed.await.is_err() {
+        log::error!(
+            event = events::EDGE_STORE, key = key;
+            "registration was not deleted; it expires with its lease"
+        );
+    }
+}
+
+/// The agent's registration in the store.
+pub(super) struct Registration {
+    pub(super) record: ListedAgent,
+    /// Address at which the target receives packets.
+    pub(super) target: SocketAddrV4,
+    pub(super) value: watch::Sender<Vec<u8>>,
+    /// Requests a check that the registration still exists.
+    pub(super) lease_check: Rc<Notify>,
+}
+
+impl Registration {
+    /// Stores the target's current start, so that a restarted agent knows which
+    /// start its predecessor served.
+    pub(super) fn set_target_start(&self, start: Incarnation) {
+        let record = ListedAgent { target: Some(start), ..self.record.clone() };
+        match serde_json::to_vec(&record) {
+            Ok(value) => {
+                self.value.send_if_modified(|old| {
+                    *old != value && {
+                        *old = value;
+                        true
+                    }
+                });
+            }
+            Err(e) => {
+                log::error!(
+                    event = events::EDGE_STORE, error:% = e;
+                    "encoding the registration failed; not updated"
+                )
+            }
+        }
+    }
+}
+
+/// Reads the registration that a previous process of this agent left.
+pub(super) async fn read_previous(store: &platform::kv::Client, key: &str) -> Previous {
+    let read = tokio::time::timeout(READ_TIMEOUT, store.get(key)).await;
+    let kv = match read {
+        Ok(Ok(Some(kv))) => kv,
+        Ok(Ok(None)) => return Previous::Absent,
+        Ok(Err(e)) => {
+            log::warn!(
+                event = events::EDGE_STORE, error:% = format!("{e:#}");
+                "reading the previous registration failed; starting without it"
+            );
+            return Previous::Unknown;
+        }
+        Err(_) => {
+            log::warn!(
+                event = events::EDGE_STORE, key = key;
+                "reading the previous registration timed out; starting without it"
+            );
+            return Previous::Unknown;
+        }
+    };
+    match serde_json::from_slice::<ListedAgent>(&kv.value) {
+        Ok(record) => Previous::Present(record.target),
+        Err(e) => {
+            metrics::dropped("entry_unreadable");
+            log::error!(
+                event = events::EDGE_STORE, key = key, error:% = e;
+                "previous registration cannot be decoded; starting without it"
+            );
+            Previous::Unknown
+        }
+    }
+}
+
+/// The registration of a previous process of this agent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Previous {
+    /// It could not be read or decoded.
+    Unknown,
+    /// There is none.
+    Absent,
+    /// The start of the target that the previous process served, if known.
+    Present(Option<Incarnation>),
+}
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -1,4 +1,4 @@
-//! The desk at which a target reports itself to its agent.
+//! The HTTP endpoint at which a target reports its state to its agent.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,33 +7,36 @@
 
 use ntex::http::StatusCode;
 
-use super::announce::Entry;
+use super::registration::Registration;
 use crate::listen::{Answer, Asked, Server};
 use crate::platform::report;
 use crate::tracker::FlowTracker;
 use crate::{events, metrics};
 
-/// Takes the target's reports.
+/// Serves the endpoint and applies each report to `holder`.
 pub(super) async fn serve(
     addr: SocketAddr,
     holder: Rc<RefCell<FlowTracker>>,
-    entry: Rc<Entry>,
+    registration: Rc<Registration>,
 ) -> anyhow::Result<Server> {
-    Server::start(addr, move |asked| heard(&asked, &mut holder.borrow_mut(), &entry)).await
+    Server::start(addr, move |request| {
+        handle_report(&request, &mut holder.borrow_mut(), &registration)
+    })
+    .await
 }
 
-fn heard(asked: &Asked, holder: &mut FlowTracker, entry: &Entry) -> Answer {
+fn handle_report(request: &Asked, holder: &mut FlowTracker, registration: &Registration) -> Answer {
     let now = Instant::now();
-    match report::decode(&asked.path, &asked.body, entry.target) {
+    match report::decode(&request.path, &request.body, registration.target) {
         Ok(Some(report::Call::Heartbeat(r))) => {
             let (start, state, seq) = (r.incarnation.clone(), r.state, r.seq);
             if holder.handle_report(r, now) {
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state:% = state, report = seq,
                     flows = holder.flow_count();
-                    "target reports"
+                    "target reported a new state"
                 );
-                entry.serves(start);
+                registration.set_target_start(start);
             }
             Answer::json(report::ANSWER.to_string())
         }
@@ -42,7 +45,7 @@
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state = "gone",
                     flows = holder.flow_count();
-                    "target ends"
+                    "target deregistered"
                 );
             }
             Answer::json(report::ANSWER.to_string())
@@ -50,7 +53,10 @@
         Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
         Err(e) => {
             metrics::dropped("report_unreadable");
-            log::warn!(event = events::REPORT_IGNORED, error:% = format!("{e:#}"); "report refused");
+            log::warn!(
+                event = events::REPORT_IGNORED, error:% = format!("{e:#}");
+                "report of the target cannot be decoded; ignored"
+            );
             Answer::empty(StatusCode::BAD_REQUEST)
         }
     }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -1,5 +1,5 @@
-//! The agent beside a target: hands it the packets of its flows, sends its
-//! packets to the callers, and takes its reports, as [`FlowTracker`] decides.
+//! The agent beside a target: delivers the packets of its flows, sends its replies
+//! to the callers and receives its reports, as [`FlowTracker`] decides.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -12,11 +12,11 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-use super::announce::{Earlier, Entry, announce, earlier, withdraw};
 use super::inspect::{self, Inspect};
-use super::port::{self, Port};
+use super::port::{self, PortState};
+use super::registration::{Previous, Registration, deregister, hold_registration, read_previous};
 use super::socket::Socket;
-use super::{AGENTS, Settings, pause, reports, store};
+use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
 use crate::flow::Flow;
 use crate::listen::{Answer, Server};
 use crate::platform::packet;
@@ -25,63 +25,62 @@
 use crate::tracker::{self, FlowTracker, Target};
 use crate::{events, metrics};
 
-/// Largest packet, in bytes.
-const PACKET: usize = 2_048;
+/// Size of the receive buffer; longer datagrams are truncated.
+const RECV_BUFFER_BYTES: usize = 2_048;
 
-/// Part of the platform's longest planned stop that an agent uses at most to
-/// let its target finish what it works on.
-const STOP_PART: f64 = 0.75;
+/// Fraction of the stop grace period that the agent may wait for its target to
+/// finish work in progress.
+const STOP_FRACTION: f64 = 0.75;
 
-/// How long an agent whose target has ended answers on after it removed its entry:
-/// until every balancer has seen that (0.3 s) and asked it once more. One that went
-/// silent first would hold up the searches of its service, as it might hold a flow.
-const STAY: Duration = Duration::from_millis(600);
+/// How long an agent whose target has ended keeps answering after it has
+/// deregistered. Must cover the time until all balancers see the deletion: a silent
+/// agent that is still registered delays searches for flows of its service.
+const DEREGISTERED_DELAY: Duration = Duration::from_millis(600);
 
-/// How often a stopping agent looks whether its target is done.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a stopping agent checks whether its target is idle.
+const IDLE_POLL: Duration = Duration::from_millis(50);
 
-/// Least pause between two writes of the agent's entry that balancers ask
-/// for: their views lag the store by some milliseconds.
-const RELIST: Duration = Duration::from_millis(1_000);
+/// Least interval between two repeated writes of the registration. Balancers lag
+/// behind the store, so they may report it as missing after it was written.
+const REWRITE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// After how long without a word of any balancer an agent looks whether its
-/// entry still stands. A balancer that misses the entry says so; one that was
-/// started after the entry had lapsed does not know of the agent. Each look is a
-/// call.
-const QUIET: Duration = Duration::from_secs(4);
+/// How long no message may arrive before the agent checks its registration:
+/// balancers started after it expired do not know the agent. A smaller value means
+/// more calls to the store.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-struct Wires {
+struct Sockets {
     bus: Socket,
     outbound: Socket,
     target: SocketAddrV4,
-    port: u16,
+    caller_port: u16,
 }
 
-impl Wires {
+impl Sockets {
     async fn bind(settings: &Settings) -> anyhow::Result<Self> {
-        let outbound = settings.outbound.with_context(missing("outbound"))?;
+        let outbound = settings.outbound.with_context(missing_field("outbound"))?;
         Ok(Self {
-            bus: Socket::bind(settings.bus(), "balancers and agents").await?,
-            outbound: Socket::bind(outbound, "the target's packets").await?,
-            target: settings.target.with_context(missing("target"))?,
-            port: settings.packets.port(),
+            bus: Socket::bind(settings.bus_addr(), "messages of balancers and agents").await?,
+            outbound: Socket::bind(outbound, "packets of the target").await?,
+            target: settings.target.with_context(missing_field("target"))?,
+            caller_port: settings.packets.port(),
         })
     }
 }
 
-/// The wires with a buffer to encode messages in.
-struct Sender<'a> {
-    wires: &'a Wires,
+/// Sends through `sockets`; `buf` is reused to encode messages.
+struct PacketSender<'a> {
+    sockets: &'a Sockets,
     buf: &'a mut Vec<u8>,
 }
 
-impl tracker::Transmit for Sender<'_> {
+impl tracker::Transmit for PacketSender<'_> {
     fn send_to_target(&mut self, packet: &[u8]) {
-        self.wires.outbound.send(self.wires.target, packet);
+        self.sockets.outbound.send_packet(self.sockets.target, packet);
     }
 
     fn send_to_caller(&mut self, to: SocketAddrV4, packet: &[u8]) {
-        self.wires.bus.send(SocketAddrV4::new(*to.ip(), self.wires.port), packet);
+        self.sockets.bus.send_packet(SocketAddrV4::new(*to.ip(), self.sockets.caller_port), packet);
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
@@ -89,101 +88,110 @@
     }
 
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.wires.bus.message(to, message, packet, self.buf);
+        self.sockets.bus.send_message(to, message, packet, self.buf);
     }
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails when the settings are refused or an address is taken.
+/// Fails when the settings are invalid, the store client cannot be created or an
+/// address cannot be bound.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
-    let service = settings.service.clone().with_context(missing("service"))?;
-    let wires = Wires::bind(&settings).await?;
-    let holder = FlowTracker::new(service.clone(), settings.flow_life())
+    let service = settings.service.clone().with_context(missing_field("service"))?;
+    let sockets = Sockets::bind(&settings).await?;
+    let holder = FlowTracker::new(service.clone(), settings.flow_lifetime())
         .with_policy(settings.policy.agent.clone());
     let holder = Rc::new(RefCell::new(holder));
-    let inspect = inspect::serve(&settings, holder.clone()).await?;
+    let inspect_server = inspect::serve(&settings, holder.clone()).await?;
     log::info!(
         event = events::EDGE_START, name:% = settings.name, zone:% = settings.zone,
         service:% = service, ip:% = settings.ip;
         "agent started"
     );
-    let store = store(&settings).await?;
-    let key = format!("{AGENTS}{}", settings.ip);
-    match earlier(&store, &key).await {
-        Earlier::Unknown => {}
-        Earlier::None => holder.borrow_mut().mark_new(),
-        Earlier::Listed(target) => holder.borrow_mut().set_predecessor(target, Instant::now()),
+    let store = connect_store(&settings).await?;
+    let key = format!("{AGENT_PREFIX}{}", settings.ip);
+    match read_previous(&store, &key).await {
+        Previous::Unknown => {}
+        Previous::Absent => holder.borrow_mut().mark_new(),
+        Previous::Present(target) => holder.borrow_mut().set_predecessor(target, Instant::now()),
     }
-    let me =
-        ListedAgent { addr: settings.bus(), zone: settings.zone.clone(), service, target: None };
-    let (value, values) = watch::channel(serde_json::to_vec(&me)?);
-    let target = wires.target;
-    let entry = Rc::new(Entry { me, target, value, check: Rc::new(Notify::new()) });
-    let desk_addr = settings.reports.with_context(missing("reports"))?;
-    let desk = reports::serve(desk_addr, holder.clone(), entry.clone()).await?;
-    let ready = match settings.ready {
+    let record =
+        ListedAgent { addr: settings.bus_addr(), zone: settings.zone.clone(), service, target: None };
+    let (value, values) = watch::channel(serde_json::to_vec(&record)?);
+    let target = sockets.target;
+    let registration =
+        Rc::new(Registration { record, target, value, lease_check: Rc::new(Notify::new()) });
+    let report_addr = settings.reports.with_context(missing_field("reports"))?;
+    let report_server = reports::serve(report_addr, holder.clone(), registration.clone()).await?;
+    let ready_server = match settings.ready {
         Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
         None => None,
     };
-    let announcing = announce(store.clone(), key.clone(), values, entry.check.clone());
-    let announcer = tokio::task::spawn_local(announcing);
-    super::until_stopped(path, forward(&wires, &holder, &entry)).await?;
-    let ended = target_ended(&wires, &holder).await;
+    let holding =
+        hold_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
+    let registrar = tokio::task::spawn_local(holding);
+    super::run_until_stopped(path, forward(&sockets, &holder, &registration)).await?;
+    let ended = check_target_ended(&sockets, &holder).await;
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flow_count(),
         waiting = holder.borrow().waiting_count(), target_ended = ended;
-        "agent stops"
+        "agent is stopping"
     );
-    announcer.abort();
-    let _ = announcer.await;
+    registrar.abort();
+    let _ = registrar.await;
     holder.borrow_mut().stop_accepting();
-    let most = settings.grace().mul_f64(STOP_PART);
-    let last = async {
+    let stop_limit = settings.stop_grace().mul_f64(STOP_FRACTION);
+    let stopping = async {
         if ended {
-            withdraw(&store, &key, most.saturating_sub(STAY)).await;
-            tokio::time::sleep(STAY).await;
+            deregister(&store, &key, stop_limit.saturating_sub(DEREGISTERED_DELAY)).await;
+            tokio::time::sleep(DEREGISTERED_DELAY).await;
         } else {
-            // Past its time it goes with work in progress.
-            let _ = tokio::time::timeout(most, idle(&holder)).await;
+            // After the limit the agent stops with work still in progress.
+            let _ = tokio::time::timeout(stop_limit, wait_until_idle(&holder)).await;
         }
     };
     tokio::select! {
-        () = forward(&wires, &holder, &entry) => {}
-        () = last => {}
+        () = forward(&sockets, &holder, &registration) => {}
+        () = stopping => {}
     }
     if !ended {
         let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
         holder
             .borrow()
-            .send_owner_hints(settings.bus(), &mut Sender { wires: &wires, buf: &mut buf });
+            .send_owner_hints(settings.bus_addr(), &mut PacketSender { sockets: &sockets, buf: &mut buf });
     }
-    desk.stop().await;
-    super::finish(inspect, ready).await;
+    report_server.stop().await;
+    super::shut_down(inspect_server, ready_server).await;
     Ok(())
 }
 
-fn missing(field: &'static str) -> impl Fn() -> String {
-    move || format!("settings: field `{field}`: an agent needs it")
+fn missing_field(field: &'static str) -> impl Fn() -> String {
+    move || format!("settings: field `{field}` is required for an agent")
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
-async fn idle(holder: &RefCell<FlowTracker>) {
+async fn wait_until_idle(holder: &RefCell<FlowTracker>) {
     while !holder.borrow().is_drained() {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(IDLE_POLL).await;
     }
 }
 
-/// Whether the target's process is over, for an agent that is told to stop: its
-/// port is tried, as its goodbye may have been lost or be a moment old.
-async fn target_ended(wires: &Wires, holder: &RefCell<FlowTracker>) -> bool {
-    if !holder.borrow().target_ended() && port::probe(wires.target).await == Port::Closed {
+/// Returns whether the target has ended. Probes its port, because its
+/// deregistration may have been lost or be in flight.
+async fn check_target_ended(sockets: &Sockets, holder: &RefCell<FlowTracker>) -> bool {
+    if !holder.borrow().target_ended() && port::probe(sockets.target).await == PortState::Closed {
         let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
-        let mut out = Sender { wires, buf: &mut buf };
-        port::note(&mut holder.borrow_mut(), Port::Closed, wires.target, Instant::now(), &mut out);
+        let mut out = PacketSender { sockets, buf: &mut buf };
+        port::apply_state(
+            &mut holder.borrow_mut(),
+            PortState::Closed,
+            sockets.target,
+            Instant::now(),
+            &mut out,
+        );
     }
     holder.borrow().target_ended()
 }
@@ -193,104 +201,113 @@
         Self::status_json(self, flow, Instant::now())
     }
 
-    fn gauge(&self) {
+    fn publish_gauges(&self) {
         metrics::state("flows", self.flow_count() as u64);
         metrics::state("waiting", self.waiting_count().into());
     }
 }
 
-/// What came from balancers and other agents.
+/// What one read of the bus socket delivered.
 #[derive(Debug, Default)]
-struct Heard {
-    /// Anything came.
-    any: bool,
-    /// A balancer does not see the agent's entry in the store.
-    unlisted: bool,
+struct BusActivity {
+    /// At least one datagram arrived.
+    received: bool,
+    /// A balancer does not see the agent's registration.
+    unregistered: bool,
 }
 
-/// Takes what balancers and other agents say.
+/// Passes messages of balancers and other agents to `holder`.
 fn read_bus(
-    wires: &Wires,
+    sockets: &Sockets,
     buf: &mut [u8],
     holder: &mut FlowTracker,
     now: Instant,
-    out: &mut Sender<'_>,
-) -> Heard {
-    let mut heard = Heard::default();
-    wires.bus.drain(buf, |datagram, from| {
-        heard.any = true;
+    out: &mut PacketSender<'_>,
+) -> BusActivity {
+    let mut activity = BusActivity::default();
+    sockets.bus.read_batch(buf, |datagram, from| {
+        activity.received = true;
         let Ok((message, packet)) = protocol::decode(datagram) else {
             metrics::dropped("not a message");
             return;
         };
-        heard.unlisted |= message == Message::Ping { listed: false };
+        activity.unregistered |= message == Message::Ping { listed: false };
         match (packet.is_empty(), packet::decode(packet)) {
             (true, _) => holder.handle_message(from, &message, None, packet, now, out),
             (false, Ok(seg)) => holder.handle_message(from, &message, Some(&seg), packet, now, out),
             (false, Err(e)) => metrics::dropped(e),
         }
     });
-    heard
+    activity
 }
 
-/// Takes the target's packets.
-fn read_target(
-    wires: &Wires,
+/// Passes the target's packets to `holder`.
+fn read_target_packets(
+    sockets: &Sockets,
     buf: &mut [u8],
     holder: &mut FlowTracker,
     now: Instant,
-    out: &mut Sender<'_>,
+    out: &mut PacketSender<'_>,
 ) {
-    wires.outbound.drain(buf, |datagram, _| match packet::decode(datagram) {
+    sockets.outbound.read_batch(buf, |datagram, _| match packet::decode(datagram) {
         Ok(seg) => holder.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
         Err(e) => metrics::dropped(e),
     });
 }
 
-/// Forwards packets until told otherwise.
-async fn forward(wires: &Wires, holder: &RefCell<FlowTracker>, entry: &Entry) {
-    let mut buf = vec![0; PACKET];
+/// Forwards packets until the future is dropped.
+async fn forward(sockets: &Sockets, holder: &RefCell<FlowTracker>, registration: &Registration) {
+    let mut buf = vec![0; RECV_BUFFER_BYTES];
     let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
-    let mut relisted: Option<Instant> = None;
+    let mut last_rewrite: Option<Instant> = None;
     let mut probes = JoinSet::new();
-    let mut heard_at = Instant::now();
+    let mut last_received = Instant::now();
     loop {
         let before = Instant::now();
-        if before.duration_since(heard_at) >= QUIET {
-            heard_at = before;
-            entry.check.notify_one();
+        if before.duration_since(last_received) >= SILENCE_TIMEOUT {
+            last_received = before;
+            registration.lease_check.notify_one();
         }
         if probes.is_empty() && holder.borrow().should_probe(before) {
-            probes.spawn_local(port::probe(wires.target));
+            probes.spawn_local(port::probe(sockets.target));
         }
         let due = holder.borrow().next_due().filter(|_| probes.is_empty());
-        let wait = due.map_or(QUIET, |at| at.saturating_duration_since(before)).min(QUIET);
+        let wait = due
+            .map_or(SILENCE_TIMEOUT, |at| at.saturating_duration_since(before))
+            .min(SILENCE_TIMEOUT);
         let mut probed = None;
         tokio::select! {
-            () = wires.bus.readable() => {}
-            () = wires.outbound.readable() => {}
-            Some(found) = probes.join_next() => probed = found.ok(),
+            () = sockets.bus.readable() => {}
+            () = sockets.outbound.readable() => {}
+            Some(port_state) = probes.join_next() => probed = port_state.ok(),
             () = tokio::time::sleep(wait) => {}
         }
         let mut holder = holder.borrow_mut();
-        let mut out = Sender { wires, buf: &mut scratch };
+        let mut out = PacketSender { sockets, buf: &mut scratch };
         let now = Instant::now();
-        // Only logged: an agent decides nothing by how long others were silent.
-        pause::note(before + wait, now);
-        if let Some(found) = probed {
-            port::note(&mut holder, found, wires.target, now, &mut out);
+        // Only logged: an agent's decisions do not depend on how long others were
+        // silent.
+        pause::detect(before + wait, now);
+        if let Some(port_state) = probed {
+            port::apply_state(&mut holder, port_state, sockets.target, now, &mut out);
         }
-        let heard = read_bus(wires, &mut buf, &mut holder, now, &mut out);
-        read_target(wires, &mut buf, &mut holder, now, &mut out);
+        let activity = read_bus(sockets, &mut buf, &mut holder, now, &mut out);
+        read_target_packets(sockets, &mut buf, &mut holder, now, &mut out);
         holder.tick(now, &mut out);
-        if heard.any {
-            heard_at = now;
+        if activity.received {
+            last_received = now;
         }
         let serves = holder.target().is_some_and(Target::is_alive);
-        if heard.unlisted && serves && relisted.is_none_or(|at| now.duration_since(at) >= RELIST) {
-            relisted = Some(now);
-            log::info!(event = events::EDGE_STORE; "entry missing in the store, written again");
-            entry.value.send_modify(|_| {});
+        if activity.unregistered
+            && serves
+            && last_rewrite.is_none_or(|at| now.duration_since(at) >= REWRITE_INTERVAL)
+        {
+            last_rewrite = Some(now);
+            log::info!(
+                event = events::EDGE_STORE;
+                "registration is missing in the store; writing it again"
+            );
+            registration.value.send_modify(|_| {});
         }
     }
 }
--- /dev/null
+++ b/src/edge/snapshot.rs
@@ -0,0 +1,152 @@
+//! Applies snapshots of the store to a balancer's state. Each value is decoded once
+//! per revision, so that a change of one agent does not cost decoding the whole
+//! configuration and all other agents.
+
+use std::collections::BTreeMap;
+use std::ops::Bound;
+use std::sync::Arc;
+use std::time::Instant;
+
+use super::AGENT_PREFIX;
+use crate::relay::{self, Part};
+use crate::steering::{FlowSteering, ListedAgent, Routes};
+use crate::store::{Kv, Snapshot};
+use crate::{events, metrics, platform};
+
+/// Decodes snapshots incrementally; caches the decoded values by revision.
+#[derive(Debug, Default)]
+pub struct SnapshotReader {
+    config_rev: i64,
+    index_rev: i64,
+    parts: BTreeMap<Arc<str>, (i64, Part)>,
+    agents: BTreeMap<Arc<str>, (i64, Option<ListedAgent>)>,
+}
+
+impl SnapshotReader {
+    /// Applies the changes since the last snapshot to `steer`.
+    pub fn apply_snapshot(&mut self, steer: &mut FlowSteering, snapshot: &Snapshot) {
+        if let Some(kv) = snapshot.keys.get(platform::config::KEY)
+            && kv.rev != self.config_rev
+        {
+            self.config_rev = kv.rev;
+            apply_config(steer, kv);
+        }
+        self.apply_parts(steer, snapshot);
+        if self.decode_agents(snapshot) {
+            let agents: Vec<ListedAgent> =
+                self.agents.values().filter_map(|(_, a)| a.clone()).collect();
+            if steer.roster.update(&agents, Instant::now()) {
+                log::info!(
+                    event = events::EDGE_ROSTER, listed = agents.len(),
+                    believed = steer.roster.len(), rev = snapshot.rev;
+                    "list of registered agents changed"
+                );
+            }
+        }
+    }
+
+    /// Applies the configuration that a relay published in parts, if it is newer
+    /// than the one in force.
+    fn apply_parts(&mut self, steer: &mut FlowSteering, snapshot: &Snapshot) {
+        let Some((index, rev)) =
+            relay::read_index(snapshot).filter(|(_, rev)| *rev != self.index_rev)
+        else {
+            return;
+        };
+        if steer.config_version() >= Some(index.version) {
+            self.index_rev = rev;
+            return;
+        }
+        // A listing may hold an index newer than its parts; the watch that follows
+        // delivers the rest.
+        let Some(kvs) = relay::consistent_parts(snapshot, &index) else { return };
+        let mut parts = BTreeMap::new();
+        let mut decoded = 0;
+        for kv in kvs {
+            let cached = self.parts.remove(&kv.key).filter(|(rev, _)| *rev == kv.rev);
+            let part = match cached {
+                Some((_, part)) => part,
+                None => match relay::parts::decode(&kv.value) {
+                    Ok(part) => {
+                        decoded += 1;
+                        part
+                    }
+                    Err(e) => {
+                        log_unreadable_config(kv, &e);
+                        return;
+                    }
+                },
+            };
+            parts.insert(kv.key.clone(), (kv.rev, part));
+        }
+        self.index_rev = rev;
+        let routes = relay::parts::join(&index, parts.values().map(|(_, part)| part));
+        self.parts = parts;
+        apply_routes(steer, routes, rev, decoded);
+    }
+
+    /// Decodes the registrations that changed. Returns whether any was added,
+    /// changed or removed.
+    fn decode_agents(&mut self, snapshot: &Snapshot) -> bool {
+        let before = self.agents.len();
+        self.agents.retain(|key, _| snapshot.keys.contains_key(key));
+        let mut changed = self.agents.len() != before;
+        let from = (Bound::Included(AGENT_PREFIX), Bound::Unbounded);
+        for (key, kv) in snapshot.keys.range::<str, _>(from) {
+            if !key.starts_with(AGENT_PREFIX) {
+                break;
+            }
+            if self.agents.get(key).is_none_or(|(rev, _)| *rev != kv.rev) {
+                self.agents.insert(key.clone(), (kv.rev, decode_agent(kv)));
+                changed = true;
+            }
+        }
+        changed
+    }
+}
+
+/// Decodes an agent's registration. One that is invalid, or names another VM than
+/// its key, is ignored.
+fn decode_agent(kv: &Kv) -> Option<ListedAgent> {
+    let (reason, error) = match serde_json::from_slice::<ListedAgent>(&kv.value) {
+        Ok(a) if kv.key.strip_prefix(AGENT_PREFIX) == Some(&a.addr.ip().to_string()) => {
+            return Some(a);
+        }
+        Ok(a) => ("entry_of_other_vm", format!("names {}", a.addr)),
+        Err(e) => ("entry_unreadable", e.to_string()),
+    };
+    metrics::dropped(reason);
+    log::error!(
+        event = events::EDGE_ROSTER, key:% = kv.key, reason = reason, error:% = error;
+        "agent's registration is invalid; ignored"
+    );
+    None
+}
+
+/// Applies the operators' configuration, unless a newer one is in force.
+fn apply_config(steer: &mut FlowSteering, kv: &Kv) {
+    match platform::config::decode(&kv.value) {
+        Ok(routes) => apply_routes(steer, routes, kv.rev, 0),
+        Err(e) => log_unreadable_config(kv, &e),
+    }
+}
+
+/// Applies `routes`; `decoded_parts` is only logged.
+fn apply_routes(steer: &mut FlowSteering, routes: Routes, rev: i64, decoded_parts: usize) {
+    let (version, n) = (routes.version, routes.by_address.len());
+    if steer.apply_routes(routes) {
+        log::info!(
+            event = events::EDGE_CONFIG, version = version, routes = n, rev = rev,
+            parts = decoded_parts;
+            "configuration in force"
+        );
+    }
+}
+
+fn log_unreadable_config(kv: &Kv, e: &dyn std::fmt::Display) {
+    metrics::dropped("configuration_unreadable");
+    log::error!(
+        event = events::EDGE_CONFIG, key:% = kv.key, rev = kv.rev, error:% = format!("{e:#}");
+        "configuration cannot be decoded; the last one stays in force"
+    );
+}
