--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -53,13 +53,13 @@
         .collect();
     let body = json!({ "version": version, "routes": all, "services": services, "limits": {} });
     let value = serde_json::to_vec(&body).unwrap();
-    Kv { key: config::KEY.into(), value, rev: version, lease: 0 }
+    Kv { key: config::CONFIG_KEY.into(), value, rev: version, lease: 0 }
 }
 
 /// What a relay writes when one route's time limit changes, as the changed
 /// keys, their bytes in base64 and the time to read them.
 fn in_parts(config: &Kv) -> (usize, usize, Duration) {
-    let relay = Relay::new(config::KEY, "zone-1", [10, 9, 0, 1].into(), 1);
+    let relay = Relay::new(config::CONFIG_KEY, "zone-1", [10, 9, 0, 1].into(), 1);
     let mut routes = config::decode(&config.value).unwrap();
     let mut steer = steer();
     let mut reader = Reader::default();
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -12,8 +12,8 @@
 use jujubepost::balancer::{Builder, Roster};
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
-use jujubepost::store::mirror::Copy;
-use jujubepost::store::{Keys, Kv};
+use jujubepost::store::mirror::KeyMap;
+use jujubepost::store::{KeyLayout, Kv};
 
 const POINTS: [u32; 5] = [250, 1_000, 4_000, 12_000, 23_000];
 const PER_PROFILE: u32 = 10;
@@ -21,7 +21,7 @@
 const SERVICES: [Service; 4] =
     [Service::Meter, Service::Fieldlog, Service::Calculadora, Service::Validador];
 
-fn insert(copy: &mut Copy, key: String, value: Vec<u8>) {
+fn insert(copy: &mut KeyMap, key: String, value: Vec<u8>) {
     let key: Arc<str> = key.into();
     copy.insert(key.clone(), Kv { key, value, rev: 1, lease: 0 });
 }
@@ -30,7 +30,7 @@
     SERVICES[i as usize % SERVICES.len()]
 }
 
-fn copy(keys: &Keys, targets: u32) -> Copy {
+fn copy(keys: &KeyLayout, targets: u32) -> KeyMap {
     let mut copy = BTreeMap::new();
     for i in 0..targets {
         let rec = record::Target {
@@ -65,7 +65,7 @@
 }
 
 fn main() {
-    let keys = Keys::new("/jujubepost".into());
+    let keys = KeyLayout::new("/jujubepost".into());
     println!("targets profiles first_ms change_ms copy_and_view_KiB");
     for targets in POINTS {
         let before = rss_kib();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -44,7 +44,7 @@
     /// The store's revision that its view reflects; 0 before the first.
     pub rev: i64,
     /// Stamp of the operators' orders that it applies, as
-    /// [`Snapshot::stamp`]; the same in every process once a change is in
+    /// [`Snapshot::fingerprint`]; the same in every process once a change is in
     /// force everywhere.
     pub orders: u64,
     /// Open flows it holds (agents; 0 for balancers, which hold none).
@@ -127,7 +127,7 @@
             name: self.name.clone(),
             ready: self.ready(),
             rev: copy.rev,
-            orders: copy.stamp(&self.config),
+            orders: copy.fingerprint(&self.config),
             flows: self.inner.flows.load(Ordering::Relaxed),
             waiting: self.inner.waiting.load(Ordering::Relaxed),
             counts: crate::metrics::snapshot(),
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -31,8 +31,8 @@
 
 use crate::admin::{self, Board};
 use crate::settings::{Settings, TargetSettings};
-use crate::store::mirror::{self, News, Source};
-use crate::store::{self, Keys};
+use crate::store::mirror::{self, MirrorEvent, Source};
+use crate::store::{self, KeyLayout};
 use crate::wire::{self, Packet};
 use crate::{events, metrics, record};
 
@@ -56,8 +56,8 @@
         .await
         .with_context(|| format!("agent {name}: binding {}", me.agent))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
-    let keys = Keys::new(settings.store.prefix.clone());
-    let board = Board::new(format!("agent-{name}").into(), keys.config().into());
+    let keys = KeyLayout::new(settings.store.prefix.clone());
+    let board = Board::new(format!("agent-{name}").into(), keys.config_prefix().into());
     let desk = admin::Server::start(me.agent, board.clone()).await?;
     let (done, finished) = mpsc::unbounded_channel();
     let agent = Rc::new(RefCell::new(Agent::new(me.clone(), settings, sock, done, board.clone())));
@@ -65,14 +65,14 @@
     let key = keys.target(name);
     let (held, lease_ms) = (store.clone(), settings.agent.lease_ms);
     let announcer = tokio::task::spawn_local(async move {
-        store::lease::hold(&held, &key, value, lease_ms, &Notify::new()).await;
+        store::lease::maintain(&held, &key, value, lease_ms, &Notify::new()).await;
     });
     let source = Source {
         store: store.clone(),
-        prefix: keys.config(),
+        prefix: keys.config_prefix(),
         peers: settings.balancers.iter().map(|b| b.addr).collect(),
-        ask: mirror::Ask::Empty,
-        gather: Duration::ZERO,
+        peer_fallback: mirror::PeerFallback::WhenEmpty,
+        batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
     let follower =
@@ -177,7 +177,7 @@
 /// Keeps the agent's orders current.
 async fn follow_orders(
     source: Source<store::Client>,
-    keys: Keys,
+    keys: KeyLayout,
     agent: Rc<RefCell<Agent>>,
     board: Board,
 ) {
@@ -186,13 +186,13 @@
         &source,
         |_| None,
         |news| match news {
-            News::Copy(copy) => {
+            MirrorEvent::Updated(copy) => {
                 agent.borrow_mut().apply_orders(Orders::read(&keys, copy, &name));
                 board.set_copy(std::sync::Arc::new(copy.clone()));
                 board.set_ready(true);
             }
-            News::Failed(e) => log::warn!("{} {e:#}", events::AGENT_STORE),
-            News::Back => {}
+            MirrorEvent::StoreFailed(e) => log::warn!("{} {e:#}", events::AGENT_STORE),
+            MirrorEvent::Recovered => {}
         },
     )
     .await;
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -5,7 +5,7 @@
 
 use crate::record;
 use crate::settings::ProfileSettings;
-use crate::store::{Keys, Snapshot};
+use crate::store::{KeyLayout, Snapshot};
 
 /// The orders in force for one agent.
 #[derive(Clone, Debug, Default)]
@@ -19,7 +19,7 @@
 impl Orders {
     /// The orders for the target `name` in a copy of the store's keys.
     #[must_use]
-    pub fn read(keys: &Keys, copy: &Snapshot, name: &str) -> Self {
+    pub fn read(keys: &KeyLayout, copy: &Snapshot, name: &str) -> Self {
         let mut profiles = HashMap::new();
         for kv in copy.keys.values() {
             let Some(("profiles", _)) = keys.split(&kv.key) else { continue };
@@ -27,7 +27,7 @@
                 profiles.insert(p.spec.listen.port(), p.spec);
             }
         }
-        let drain = copy.keys.contains_key(keys.drain(name).as_str());
+        let drain = copy.keys.contains_key(keys.drain_order(name).as_str());
         Self { profiles, drain }
     }
 }
--- a/src/balancer/builder.rs
+++ b/src/balancer/builder.rs
@@ -10,8 +10,8 @@
 use super::{Pool, Roster, Route, View};
 use crate::record;
 use crate::settings::{ProfileSettings, Service};
-use crate::store::mirror::Copy;
-use crate::store::{Keys, Kv};
+use crate::store::mirror::KeyMap;
+use crate::store::{KeyLayout, Kv};
 use crate::table::Table;
 
 /// One key of the store, parsed.
@@ -26,7 +26,7 @@
 /// What the view is built from, kept between changes of the store.
 #[derive(Debug)]
 pub struct Builder {
-    keys: Keys,
+    keys: KeyLayout,
     parsed: BTreeMap<Arc<str>, (i64, Record)>,
     pools: HashMap<Service, Arc<Pool>>,
     /// The judgement of the announcements.
@@ -36,12 +36,12 @@
 impl Builder {
     /// A builder for the store's `keys`, whose announcements `roster` judges.
     #[must_use]
-    pub fn new(keys: Keys, roster: Roster) -> Self {
+    pub fn new(keys: KeyLayout, roster: Roster) -> Self {
         Self { keys, parsed: BTreeMap::new(), pools: HashMap::new(), roster }
     }
 
     /// The view of the store's keys as they are now.
-    pub fn update(&mut self, copy: &Copy, now: Instant) -> View {
+    pub fn update(&mut self, copy: &KeyMap, now: Instant) -> View {
         self.parse(copy);
         let targets = self.records().filter_map(|r| match r {
             Record::Target(t) => Some(t.clone()),
@@ -64,7 +64,7 @@
         self.parsed.values().map(|(_, record)| record)
     }
 
-    fn parse(&mut self, copy: &Copy) {
+    fn parse(&mut self, copy: &KeyMap) {
         self.parsed.retain(|key, _| copy.contains_key(key));
         for (key, kv) in copy {
             if self.parsed.get(key).is_none_or(|(rev, _)| *rev != kv.rev) {
@@ -107,7 +107,7 @@
     }
 }
 
-fn record(keys: &Keys, kv: &Kv) -> Record {
+fn record(keys: &KeyLayout, kv: &Kv) -> Record {
     match keys.split(&kv.key) {
         Some(("profiles", _)) => serde_json::from_slice::<record::Profile>(&kv.value)
             .map_or(Record::Other, |p| Record::Profile(p.spec)),
--- a/src/balancer/follow.rs
+++ b/src/balancer/follow.rs
@@ -10,8 +10,8 @@
 use crate::admin::Board;
 use crate::events;
 use crate::metrics;
-use crate::store::mirror::{News, Snapshot, Source};
-use crate::store::{self, Keys};
+use crate::store::mirror::{MirrorEvent, Snapshot, Source};
+use crate::store::{self, KeyLayout};
 
 /// How often held targets are looked at.
 const HOLD_TICK: Duration = Duration::from_millis(250);
@@ -66,7 +66,7 @@
 /// target's time is over.
 pub async fn follow(
     source: Source<store::Client>,
-    keys: Keys,
+    keys: KeyLayout,
     view: Rc<RefCell<View>>,
     board: Board,
     hold: Hold,
@@ -84,17 +84,17 @@
         &source,
         |_| None,
         |news| match news {
-            News::Copy(copy) => {
+            MirrorEvent::Updated(copy) => {
                 let mut j = judge.borrow_mut();
                 j.copy = Arc::new(copy.clone());
                 j.stale = true;
                 j.catch_up();
             }
-            News::Failed(e) => {
+            MirrorEvent::StoreFailed(e) => {
                 log::warn!("{} {e:#}", events::BALANCER_STORE);
                 judge.borrow_mut().builder.roster.postpone(Instant::now());
             }
-            News::Back => {}
+            MirrorEvent::Recovered => {}
         },
     );
     let expiry = async {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -28,7 +28,7 @@
 use crate::metrics::{self, Refusal};
 use crate::settings::{BalancerSettings, Policy, Settings};
 use crate::store::mirror::Source;
-use crate::store::{self, Keys};
+use crate::store::{self, KeyLayout};
 use crate::wire::{self, Answer, Kind, Offer, Owner, Packet, Reply, Stage};
 use crate::{events, record, refusal};
 
@@ -89,17 +89,17 @@
         .await
         .with_context(|| format!("balancer {name}: binding {}", me.addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
-    let keys = Keys::new(settings.store.prefix.clone());
+    let keys = KeyLayout::new(settings.store.prefix.clone());
     let view = Rc::new(RefCell::new(View::default()));
     log::info!("{} balancer {name} in {} on {}", events::BALANCER_START, me.zone, me.addr);
-    let board = Board::new(me.name.clone(), keys.config().into());
+    let board = Board::new(me.name.clone(), keys.config_prefix().into());
     let desk = admin::Server::start(me.addr, board.clone()).await?;
     let source = Source {
         store: store.clone(),
-        prefix: keys.all(),
+        prefix: keys.root_prefix(),
         peers: settings.peers(me.addr),
-        ask: store::mirror::Ask::Empty,
-        gather: Duration::ZERO,
+        peer_fallback: store::mirror::PeerFallback::WhenEmpty,
+        batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
     let watcher = tokio::task::spawn_local(follow::follow(
@@ -187,14 +187,14 @@
 }
 
 /// Announces the balancer under a lease and keeps the lease alive.
-async fn announce(store: store::Client, keys: Keys, me: BalancerSettings, lease_ms: u64) {
+async fn announce(store: store::Client, keys: KeyLayout, me: BalancerSettings, lease_ms: u64) {
     let rec = record::Balancer { name: me.name.clone(), zone: me.zone.clone(), addr: me.addr };
     let Ok(value) = serde_json::to_vec(&rec) else {
         return;
     };
     let (_keep, value) = tokio::sync::watch::channel(value);
     let check = tokio::sync::Notify::new();
-    store::lease::hold(&store, &keys.balancer(&me.name), value, lease_ms, &check).await;
+    store::lease::maintain(&store, &keys.balancer(&me.name), value, lease_ms, &check).await;
 }
 
 const fn ms(v: u64) -> Duration {
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -8,8 +8,8 @@
 
 use super::Builder;
 use crate::settings::ProfileSettings;
-use crate::store::Keys;
-use crate::store::mirror::Copy;
+use crate::store::KeyLayout;
+use crate::store::mirror::KeyMap;
 use crate::table::Table;
 
 /// One profile as the balancer uses it.
@@ -42,7 +42,7 @@
     /// Builds the view from a copy of the store's keys, trusting every
     /// announcement as it stands.
     #[must_use]
-    pub fn build(keys: &Keys, copy: &Copy) -> Self {
+    pub fn build(keys: &KeyLayout, copy: &KeyMap) -> Self {
         let mut builder = Builder::new(keys.clone(), super::Roster::default());
         builder.update(copy, Instant::now())
     }
--- a/src/ctl/fleet.rs
+++ b/src/ctl/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::admin::{self, Status};
 use crate::settings::Settings;
-use crate::store::{self, Keys, Snapshot};
+use crate::store::{self, KeyLayout, Snapshot};
 
 /// How long one process may take to answer.
 const ASK: Duration = Duration::from_millis(500);
@@ -60,10 +60,10 @@
 /// when `timeout` passes first.
 pub async fn in_force(s: &Settings, timeout: Duration) -> anyhow::Result<Duration> {
     let start = Instant::now();
-    let prefix = Keys::new(s.store.prefix.clone()).config();
+    let prefix = KeyLayout::new(s.store.prefix.clone()).config_prefix();
     let store = store::Client::new(s.store.addr, Duration::from_millis(s.store.timeout_ms)).await;
     let want = Snapshot::list(&store, &prefix).await?;
-    let stamp = want.stamp(&prefix);
+    let stamp = want.fingerprint(&prefix);
     loop {
         let behind: Vec<String> = statuses(s)
             .await
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -20,7 +20,7 @@
 use crate::flow::Flow;
 use crate::record;
 use crate::settings::{ProfileSettings, Settings};
-use crate::store::{self, Faults, Keys};
+use crate::store::{self, Faults, KeyLayout};
 
 /// Arguments of `jujubepost ctl`.
 #[derive(Debug, clap::Args)]
@@ -151,7 +151,17 @@
             Ok(())
         }
         Command::Fault { outage, delay_ms, lose, lapse, forget } => {
-            fault(&settings, &Faults { outage, delay_ms, lose, lapse, forget }).await
+            fault(
+                &settings,
+                &Faults {
+                    outage,
+                    delay_ms,
+                    lost_answers: lose,
+                    refuse_keepalives: lapse,
+                    clear_history: forget,
+                },
+            )
+            .await
         }
     }
 }
@@ -169,9 +179,9 @@
 }
 
 /// A client of the site's store, and its keys.
-async fn open(s: &Settings) -> (store::Client, Keys) {
+async fn open(s: &Settings) -> (store::Client, KeyLayout) {
     let timeout = Duration::from_millis(s.store.timeout_ms);
-    (store::Client::new(s.store.addr, timeout).await, Keys::new(s.store.prefix.clone()))
+    (store::Client::new(s.store.addr, timeout).await, KeyLayout::new(s.store.prefix.clone()))
 }
 
 /// Takes a target out of service.
@@ -185,7 +195,7 @@
     let (store, keys) = open(s).await;
     let since_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
     let value = serde_json::to_vec(&record::Drain { since_ms })?;
-    store.put(&keys.drain(target), &value, 0).await?;
+    store.put(&keys.drain_order(target), &value, 0).await?;
     log::info!("{} target {target} drains", events::CTL_WRITE);
     Ok(())
 }
@@ -198,7 +208,7 @@
 pub async fn resume(s: &Settings, target: &str) -> anyhow::Result<()> {
     s.target(target)?;
     let (store, keys) = open(s).await;
-    store.delete(&keys.drain(target)).await?;
+    store.delete(&keys.drain_order(target)).await?;
     log::info!("{} target {target} back in service", events::CTL_WRITE);
     Ok(())
 }
@@ -229,7 +239,7 @@
 /// Fails when the store cannot be reached or a profile changed meanwhile.
 pub async fn apply(
     store: &store::Client,
-    keys: &Keys,
+    keys: &KeyLayout,
     profiles: &[ProfileSettings],
 ) -> anyhow::Result<()> {
     for spec in profiles {
@@ -255,14 +265,14 @@
 /// Fails when the store cannot be reached and the write cannot be confirmed.
 pub async fn put(
     store: &store::Client,
-    keys: &Keys,
+    keys: &KeyLayout,
     spec: &ProfileSettings,
     rev: i64,
 ) -> anyhow::Result<Outcome> {
     let key = keys.profile(&spec.name);
     let rec = record::Profile { spec: spec.clone(), writer: rand::random() };
     let value = serde_json::to_vec(&rec)?;
-    let outcome = match store.swap(&key, &value, rev).await {
+    let outcome = match store.compare_and_swap(&key, &value, rev).await {
         Ok(true) => Outcome::Written,
         Ok(false) => Outcome::Conflict,
         Err(e) => {
@@ -286,8 +296,8 @@
     Ok(outcome)
 }
 
-async fn status(store: &store::Client, keys: &Keys) -> anyhow::Result<()> {
-    let (rev, kvs) = store.list(&keys.all()).await?;
+async fn status(store: &store::Client, keys: &KeyLayout) -> anyhow::Result<()> {
+    let (rev, kvs) = store.list(&keys.root_prefix()).await?;
     println!("store revision {rev}");
     for kv in kvs {
         let Some((kind, name)) = keys.split(&kv.key) else { continue };
--- a/src/edge/announce.rs
+++ b/src/edge/announce.rs
@@ -11,7 +11,7 @@
 use crate::hold::Start;
 use crate::platform;
 use crate::steer::Announced;
-use crate::store::{Lessor, lease};
+use crate::store::{LeaseStore, lease};
 use crate::{events, metrics};
 
 /// Pause before a stopping agent tries again to remove its entry: some ten
@@ -35,7 +35,7 @@
         log::error!(event = events::EDGE_STORE, key = key; "entry has no writer");
         return;
     }
-    lease::hold(&store, &key, values, LEASE_MS, &check).await;
+    lease::maintain(&store, &key, values, LEASE_MS, &check).await;
 }
 
 /// Removes the entry of an agent whose target is over, and tries for as long as
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -24,7 +24,7 @@
 use crate::relay::Relay;
 use crate::steer::{self, Steer};
 use crate::store::Snapshot;
-use crate::store::mirror::{self, News, Source};
+use crate::store::mirror::{self, MirrorEvent, Source};
 use crate::{events, metrics};
 
 /// Largest packet of a caller, in bytes.
@@ -63,7 +63,7 @@
 
     fn reset(&mut self, flow: Flow, seq: u32) {
         let to = SocketAddrV4::new(*flow.caller.ip(), self.port);
-        self.wires.packets.send(to, &packet::reset(flow, seq));
+        self.wires.packets.send(to, &packet::encode_reset(flow, seq));
     }
 }
 
@@ -78,7 +78,7 @@
         packets: Socket::bind(settings.packets, "callers' packets").await?,
         bus: Socket::bind(settings.bus(), "agents").await?,
     };
-    let board = Board::new(settings.name.clone(), platform::config::PREFIX.into());
+    let board = Board::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
     let desk = admin::Server::start(settings.bus().into(), board.clone()).await?;
     let ready = match settings.ready {
         Some(addr) => Some(readiness(addr, board.clone()).await?),
@@ -124,11 +124,12 @@
         store: store(settings).await?,
         prefix: String::new(),
         peers: settings.peers(),
-        ask: mirror::Ask::Always,
-        gather: GATHER,
+        peer_fallback: mirror::PeerFallback::Always,
+        batch_delay: GATHER,
         refresh,
     };
-    let relay = Relay::new(platform::config::KEY, &settings.zone, settings.ip, settings.large());
+    let relay =
+        Relay::new(platform::config::CONFIG_KEY, &settings.zone, settings.ip, settings.large());
     let (tell, copies) = watch::channel(None);
     let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), copies);
     let (view, seen) = (steer.clone(), board.clone());
@@ -141,25 +142,25 @@
             scope
         };
         let follow = mirror::follow(&source, scope, |news| match news {
-            News::Copy(copy) => {
+            MirrorEvent::Updated(copy) => {
                 reader.apply_snapshot(&mut view.borrow_mut(), copy);
                 seen.set_ready(view.borrow().ready());
                 let copy = Arc::new(copy.clone());
                 seen.set_copy(copy.clone());
                 tell.send_replace(Some(copy));
             }
-            News::Back => {
+            MirrorEvent::Recovered => {
                 view.borrow_mut().see(true, Instant::now());
                 log::info!(event = events::EDGE_STORE, after_loss = lost; "store answers");
                 lost = false;
             }
-            News::Failed(e) if !lost => {
+            MirrorEvent::StoreFailed(e) if !lost => {
                 view.borrow_mut().see(false, Instant::now());
                 log::warn!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "store lost");
                 tell.send_replace(None);
                 lost = true;
             }
-            News::Failed(_) => {}
+            MirrorEvent::StoreFailed(_) => {}
         });
         futures_util::join!(follow, relaying);
     }))
--- a/src/edge/listing.rs
+++ b/src/edge/listing.rs
@@ -25,7 +25,7 @@
 impl Reader {
     /// Applies what the store's keys say now to `steer`.
     pub fn apply_snapshot(&mut self, steer: &mut Steer, copy: &Snapshot) {
-        if let Some(kv) = copy.keys.get(platform::config::KEY)
+        if let Some(kv) = copy.keys.get(platform::config::CONFIG_KEY)
             && kv.rev != self.config
         {
             self.config = kv.rev;
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -13,7 +13,7 @@
 use crate::platform::kv::Client;
 use crate::relay::{INDEX, Relay};
 use crate::steer::Steer;
-use crate::store::{Lessor, Snapshot, lease};
+use crate::store::{LeaseStore, Snapshot, lease};
 
 /// Time to live of a relay's key. When the relay dies, its data centre follows
 /// in full again after this; a change is to be in force within 5 s.
@@ -73,7 +73,7 @@
 async fn hold_key(store: Client, key: String) {
     // The key says all; its value is never changed.
     let (_value, values) = watch::channel(Vec::new());
-    lease::hold(&store, &key, values, LEASE_MS, &Notify::new()).await;
+    lease::maintain(&store, &key, values, LEASE_MS, &Notify::new()).await;
 }
 
 async fn withdraw(store: &Client, relay: &Relay) {
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -10,7 +10,7 @@
 use super::announce::Entry;
 use crate::hold::Holder;
 use crate::listen::{Answer, Asked, Server};
-use crate::platform::report;
+use crate::platform::instances;
 use crate::{events, metrics};
 
 /// Takes the target's reports.
@@ -24,8 +24,8 @@
 
 fn heard(asked: &Asked, holder: &mut Holder, entry: &Entry) -> Answer {
     let now = Instant::now();
-    match report::decode(&asked.path, &asked.body, entry.target) {
-        Ok(Some(report::Call::Heartbeat(r))) => {
+    match instances::decode(&asked.path, &asked.body, entry.target) {
+        Ok(Some(instances::InstanceCall::Heartbeat(r))) => {
             let (start, state, seq) = (r.start.clone(), r.state, r.seq);
             if holder.report(r, now) {
                 log::info!(
@@ -35,9 +35,9 @@
                 );
                 entry.serves(start);
             }
-            Answer::json(report::ANSWER.to_string())
+            Answer::json(instances::RESPONSE.to_string())
         }
-        Ok(Some(report::Call::Gone(start))) => {
+        Ok(Some(instances::InstanceCall::Deregister(start))) => {
             if holder.gone(&start, now) {
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state = "gone",
@@ -45,7 +45,7 @@
                     "target ends"
                 );
             }
-            Answer::json(report::ANSWER.to_string())
+            Answer::json(instances::RESPONSE.to_string())
         }
         Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
         Err(e) => {
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -85,7 +85,7 @@
     }
 
     fn reset(&mut self, flow: Flow, seq: u32) {
-        self.caller(flow.caller, &packet::reset(flow, seq));
+        self.caller(flow.caller, &packet::encode_reset(flow, seq));
     }
 
     fn peer(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
--- a/src/model/wires.rs
+++ b/src/model/wires.rs
@@ -49,7 +49,7 @@
     }
 
     fn reset(&mut self, flow: Flow, seq: u32) {
-        self.0.push(Sent::Reset(packet::reset(flow, seq)));
+        self.0.push(Sent::Reset(packet::encode_reset(flow, seq)));
     }
 }
 
@@ -63,7 +63,7 @@
     }
 
     fn reset(&mut self, flow: Flow, seq: u32) {
-        self.0.push(Sent::Reset(packet::reset(flow, seq)));
+        self.0.push(Sent::Reset(packet::encode_reset(flow, seq)));
     }
 
     fn peer(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -12,10 +12,10 @@
 use crate::steer::{Route, Routes};
 
 /// Prefix of what the operators write.
-pub const PREFIX: &str = "op/";
+pub const OPERATOR_PREFIX: &str = "op/";
 
 /// Key of the newest configuration.
-pub const KEY: &str = "op/config";
+pub const CONFIG_KEY: &str = "op/config";
 
 /// Limit on a flow's idle time where the configuration names none.
 const IDLE_DEFAULT_MS: u64 = 15_000;
@@ -75,7 +75,7 @@
 /// A configuration as operators write it, with a route for each service: for
 /// the stand-ins.
 #[must_use]
-pub fn body(version: u64, routes: &[(&str, SocketAddrV4)]) -> serde_json::Value {
+pub fn encode(version: u64, routes: &[(&str, SocketAddrV4)]) -> serde_json::Value {
     let route = |(service, addr): &(&str, SocketAddrV4)| {
         serde_json::json!({
             "name": service, "host": addr.ip(), "prefix": format!("/{}/", addr.port()),
--- a/src/platform/dial.rs
+++ b/src/platform/connector.rs
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// Fails when the client cannot be built.
-pub async fn client(addr: SocketAddr) -> anyhow::Result<Client> {
+pub async fn build_client(addr: SocketAddr) -> anyhow::Result<Client> {
     let connect = fn_service::<_, _, _, _, SharedCfg>(move |_: Connect<Uri>| async move {
         open(addr).await.map_err(ConnectError::Io)
     });
--- a/src/platform/report.rs
+++ b/src/platform/instances.rs
@@ -10,21 +10,21 @@
 use crate::hold::{Report, Start, State};
 
 /// Path of a target's heartbeat, before its id.
-pub const HEARTBEAT: &str = "/v1/Instances.Heartbeat/";
+pub const HEARTBEAT_PATH: &str = "/v1/Instances.Heartbeat/";
 
 /// Path by which a target says that it is gone, before its id.
-pub const GONE: &str = "/v1/Instances.Deregister/";
+pub const DEREGISTER_PATH: &str = "/v1/Instances.Deregister/";
 
 /// Answer to a heartbeat: no other address for later ones.
-pub const ANSWER: &str = "{}";
+pub const RESPONSE: &str = "{}";
 
 /// What a target called.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum InstanceCall {
     /// A heartbeat.
     Heartbeat(Report),
     /// This start of the target ends now.
-    Gone(Start),
+    Deregister(Start),
 }
 
 #[derive(Debug, Deserialize)]
@@ -63,7 +63,12 @@
 
 /// The body of a heartbeat, as the stand-in of a target sends it.
 #[must_use]
-pub fn body(service: &str, addr: SocketAddrV4, state: State, seq: u64) -> serde_json::Value {
+pub fn heartbeat_json(
+    service: &str,
+    addr: SocketAddrV4,
+    state: State,
+    seq: u64,
+) -> serde_json::Value {
     serde_json::json!({
         "service": service, "address": addr, "zone": "", "version": "v1", "capacity": 5,
         "state": state.to_string(), "warmup_left_ms": 0, "seq": seq,
@@ -76,17 +81,21 @@
 ///
 /// Fails when the body is not of the platform's form, or of a target at another
 /// address; the error names the field.
-pub fn decode(path: &str, body: &[u8], target: SocketAddrV4) -> anyhow::Result<Option<Call>> {
-    if let Some(id) = path.strip_prefix(GONE) {
+pub fn decode(
+    path: &str,
+    body: &[u8],
+    target: SocketAddrV4,
+) -> anyhow::Result<Option<InstanceCall>> {
+    if let Some(id) = path.strip_prefix(DEREGISTER_PATH) {
         let b = if body.is_empty() { GoneBody::default() } else { read("end", id, body)? };
-        return Ok(Some(Call::Gone(Start { id: id.into(), born: b.born })));
+        return Ok(Some(InstanceCall::Deregister(Start { id: id.into(), born: b.born })));
     }
-    let Some(id) = path.strip_prefix(HEARTBEAT) else { return Ok(None) };
+    let Some(id) = path.strip_prefix(HEARTBEAT_PATH) else { return Ok(None) };
     let b: Body = read("heartbeat", id, body)?;
     if b.address != target {
         bail!("heartbeat of target {id}: address: {} is not {target}", b.address);
     }
-    Ok(Some(Call::Heartbeat(Report {
+    Ok(Some(InstanceCall::Heartbeat(Report {
         start: Start { id: id.into(), born: b.born },
         service: b.service,
         slots: b.capacity,
--- a/src/platform/kv.rs
+++ b/src/platform/kv.rs
@@ -13,7 +13,7 @@
 use ntex::http::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::store::{Batch, Change, Keeper, Kv, Lessor};
+use crate::store::{Change, Kv, LeaseStore, WatchBatch, WatchStore};
 use crate::{events, metrics};
 
 /// Largest answer read, in bytes: a page is about 1 MB, and base64 and JSON
@@ -134,7 +134,7 @@
     ///
     /// Fails when the HTTP client cannot be built.
     pub async fn new(addr: SocketAddr, timeout: Duration, wait: Duration) -> anyhow::Result<Self> {
-        let http = super::dial::client(addr).await?;
+        let http = super::connector::build_client(addr).await?;
         Ok(Self { http, addr, timeout, wait })
     }
 
@@ -238,7 +238,7 @@
     }
 }
 
-impl Keeper for Client {
+impl WatchStore for Client {
     async fn list(&self, prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         let step = format!("list {prefix}");
         let mut kvs: Vec<Kv> = Vec::new();
@@ -261,7 +261,7 @@
         }
     }
 
-    async fn watch(&self, prefix: &str, after: i64, wait: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, prefix: &str, after: i64, wait: bool) -> anyhow::Result<WatchBatch> {
         let step = format!("watch {prefix} after {after}");
         let wait = if wait { self.wait } else { Duration::ZERO };
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
@@ -271,7 +271,7 @@
             .send(&step, req, None, if wait.is_zero() { self.timeout } else { wait + WATCH_SLACK })
             .await?;
         if res.status() == StatusCode::GONE {
-            return Ok(Batch { rev: after, compacted: true, changes: Vec::new() });
+            return Ok(WatchBatch { rev: after, compacted: true, changes: Vec::new() });
         }
         let events: Events = self.read(&step, res).await?;
         let mut changes = Vec::with_capacity(events.events.len());
@@ -282,11 +282,11 @@
                 changes.extend(readable(e).map(Change::Put));
             }
         }
-        Ok(Batch { rev: events.as_of, compacted: false, changes })
+        Ok(WatchBatch { rev: events.as_of, compacted: false, changes })
     }
 }
 
-impl Lessor for Client {
+impl LeaseStore for Client {
     async fn grant(&self, ttl: Duration) -> anyhow::Result<i64> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let req = self.http.post(self.url("/v1/kv-lease"));
@@ -311,7 +311,7 @@
         self.change(&format!("put {key}"), &txn).await
     }
 
-    async fn has(&self, key: &str) -> anyhow::Result<bool> {
+    async fn exists(&self, key: &str) -> anyhow::Result<bool> {
         Ok(self.get(key).await?.is_some())
     }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`packet`]: the head of the packets that callers and targets exchange.
 //! - [`config`]: the operators' configuration as it lies in the store.
-//! - [`report`]: what a target says of itself to its agent.
+//! - [`instances`]: what a target says of itself to its agent.
 //! - [`kv`]: the calls of the platform's key-value service; [`server`], the same
 //!   calls answered by the store stand-in.
 //!
@@ -13,10 +13,10 @@
 //! product's own format.
 
 pub mod config;
-mod dial;
+mod connector;
+pub mod instances;
 pub mod kv;
 pub mod packet;
-pub mod report;
 pub mod server;
 
 /// Path at which the platform's routers ask whether a balancer takes flows.
--- a/src/platform/packet.rs
+++ b/src/platform/packet.rs
@@ -1,7 +1,7 @@
 //! The head of a packet between a caller and a target.
 //!
-//! One UDP datagram holds one packet: a head of [`HEAD`] bytes, big-endian,
-//! and up to [`MAX_DATA`] bytes. The two ends protect the head with a keyed
+//! One UDP datagram holds one packet: a head of [`HEADER_LEN`] bytes, big-endian,
+//! and up to [`MAX_PAYLOAD`] bytes. The two ends protect the head with a keyed
 //! sum, so the system forwards packets as they came; it may write only the
 //! `echo` and `pad` fields and the bounced bit.
 
@@ -12,10 +12,10 @@
 use crate::flow::{Flags, Flow, Segment};
 
 /// Bytes of a packet's head.
-pub const HEAD: usize = 36;
+pub const HEADER_LEN: usize = 36;
 
 /// Most bytes of data after the head.
-pub const MAX_DATA: usize = 1_200;
+pub const MAX_PAYLOAD: usize = 1_200;
 
 /// Offset of the flags.
 const FLAGS_AT: usize = 0;
@@ -34,10 +34,10 @@
 pub enum Malformed {
     /// It is shorter than a head.
     #[display("shorter than a head")]
-    Short,
+    TooShort,
     /// The length field does not match the bytes after the head.
     #[display("length field does not match")]
-    Length,
+    LengthMismatch,
 }
 
 /// Reads the head of the packet in `datagram`.
@@ -46,8 +46,8 @@
 ///
 /// Fails when the datagram is too short or its length field is wrong.
 pub fn decode(datagram: &[u8]) -> Result<Segment, Malformed> {
-    if datagram.len() < HEAD {
-        return Err(Malformed::Short);
+    if datagram.len() < HEADER_LEN {
+        return Err(Malformed::TooShort);
     }
     let mut b = datagram;
     let bits = b.get_u8();
@@ -61,8 +61,8 @@
     let dst = Ipv4Addr::from(b.get_u32());
     let sport = b.get_u16();
     let _sum = b.get_u32();
-    if usize::from(len) != b.len() || b.len() > MAX_DATA {
-        return Err(Malformed::Length);
+    if usize::from(len) != b.len() || b.len() > MAX_PAYLOAD {
+        return Err(Malformed::LengthMismatch);
     }
     Ok(Segment {
         from: SocketAddrV4::new(src, sport),
@@ -103,8 +103,8 @@
 /// must be close to the caller's last acknowledgement; before the flow is
 /// open any value will do.
 #[must_use]
-pub fn reset(flow: Flow, seq: u32) -> Vec<u8> {
-    let mut b = Vec::with_capacity(HEAD);
+pub fn encode_reset(flow: Flow, seq: u32) -> Vec<u8> {
+    let mut b = Vec::with_capacity(HEADER_LEN);
     b.put_u8(RST);
     b.put_bytes(0, PAD);
     b.put_u16(0);
@@ -126,7 +126,7 @@
     let f = seg.flags;
     let pairs = [(f.syn, SYN), (f.ack, ACK), (f.fin, FIN), (f.rst, RST), (f.bounced, BOUNCED)];
     let bits = pairs.into_iter().filter(|(on, _)| *on).map(|(_, bit)| bit).sum();
-    let mut b = Vec::with_capacity(HEAD + data.len());
+    let mut b = Vec::with_capacity(HEADER_LEN + data.len());
     b.put_u8(bits);
     b.put_bytes(0, PAD);
     b.put_u16(u16::try_from(data.len()).unwrap_or(u16::MAX));
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store;
-use crate::store::server::{Db, Entry, Shared, gate, lost};
+use crate::store::server::{Db, Entry, ServerState, inject_faults, loses_answer};
 
 /// Most items of one page.
 const PAGE: usize = 500;
@@ -58,8 +58,8 @@
         Self {
             key: String::from_utf8_lossy(key).into_owned(),
             value: Some(B64.encode(&e.value)),
-            revision: e.modr,
-            created: Some(e.create),
+            revision: e.mod_rev,
+            created: Some(e.create_rev),
             lease: Some(e.lease),
             tombstone: false,
         }
@@ -143,8 +143,8 @@
     ttl_ms: u64,
 }
 
-async fn key(st: State<Shared>, q: Query<KeyQuery>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn key(st: State<ServerState>, q: Query<KeyQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
@@ -155,8 +155,8 @@
     }
 }
 
-async fn range(st: State<Shared>, q: Query<RangeQuery>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn range(st: State<ServerState>, q: Query<RangeQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
@@ -176,7 +176,7 @@
 
 /// The changes after `after`, or none when the history is forgotten.
 fn changes(db: &Db, q: &WatchQuery) -> Option<Vec<Item>> {
-    if db.forgotten(q.after + 1) {
+    if db.is_compacted(q.after + 1) {
         return None;
     }
     let of = |(rev, ev): &(i64, crate::store::types::Event)| {
@@ -195,8 +195,8 @@
     Some(db.history.iter().filter_map(of).collect())
 }
 
-async fn watch(st: State<Shared>, q: Query<WatchQuery>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn watch(st: State<ServerState>, q: Query<WatchQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     st.lock().stats.watches += 1;
@@ -217,8 +217,8 @@
     }
 }
 
-async fn txn(st: State<Shared>, req: Json<Txn>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn txn(st: State<ServerState>, req: Json<Txn>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
@@ -226,10 +226,10 @@
     if req.expected_rev.len() + req.writes.len() + req.remove.len() > ENTRIES {
         return HttpResponse::BadRequest().body("more than 32 entries");
     }
-    if req.writes.iter().any(|w| !db.holds(w.lease)) {
+    if req.writes.iter().any(|w| !db.has_lease(w.lease)) {
         return HttpResponse::NotFound().finish();
     }
-    let have = |c: &Condition| db.kvs.get(c.key.as_bytes()).map_or(0, |e| e.modr);
+    let have = |c: &Condition| db.kvs.get(c.key.as_bytes()).map_or(0, |e| e.mod_rev);
     if req.expected_rev.iter().any(|c| have(c) != c.revision) {
         let current =
             |c: &Condition| db.kvs.get(c.key.as_bytes()).map(|e| Item::of(c.key.as_bytes(), e));
@@ -250,20 +250,20 @@
         db.delete(key.as_bytes());
     }
     st.notify.notify_waiters();
-    if lost(&mut db) {
+    if loses_answer(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&Revision { revision: db.rev })
 }
 
-async fn lease(st: State<Shared>, req: Json<Ttl>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn lease(st: State<ServerState>, req: Json<Ttl>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
     db.stats.writes += 1;
     let lease = db.grant(Duration::from_millis(req.ttl_ms));
-    if lost(&mut db) {
+    if loses_answer(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&Granted { lease, ttl_ms: req.ttl_ms })
@@ -271,8 +271,8 @@
 
 // The body is read although it says nothing: a connection closed with bytes
 // unread is reset, and the answer with it.
-async fn keep(st: State<Shared>, id: Path<i64>, _body: Bytes) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn keep(st: State<ServerState>, id: Path<i64>, _body: Bytes) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -85,10 +85,10 @@
             }
             ["store", "lose", n] => {
                 let n = n.parse().context("lose")?;
-                Self::store(|f| f.lose = n)
+                Self::store(|f| f.lost_answers = n)
             }
-            ["store", "forget"] => Self::store(|f| f.forget = true),
-            ["store", "lapse"] => Self::store(|f| f.lapse = true),
+            ["store", "forget"] => Self::store(|f| f.clear_history = true),
+            ["store", "lapse"] => Self::store(|f| f.refuse_keepalives = true),
             ["fabric", "lose", n] => Self::Fabric(Faults { lose: n.parse()?, ..Faults::default() }),
             ["fabric", "mute"] => Self::Fabric(Faults { mute: true, ..Faults::default() }),
             ["fabric", "ok"] => Self::Fabric(Faults::default()),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -26,7 +26,7 @@
 
 /// What one watch call returned.
 #[derive(Clone, Debug, Default)]
-pub struct Batch {
+pub struct WatchBatch {
     /// The store's revision at the answer; watch again from `rev + 1`.
     pub rev: i64,
     /// The asked revision is older than the kept history: list again.
@@ -139,7 +139,12 @@
     /// # Errors
     ///
     /// As [`Client::put`].
-    pub async fn swap(&self, key: &str, value: &[u8], rev: i64) -> anyhow::Result<bool> {
+    pub async fn compare_and_swap(
+        &self,
+        key: &str,
+        value: &[u8],
+        rev: i64,
+    ) -> anyhow::Result<bool> {
         let req = TxnRequest {
             compare: vec![Compare {
                 key: B64.encode(key),
@@ -203,7 +208,7 @@
     /// # Errors
     ///
     /// As [`Client::list`].
-    pub async fn watch(&self, prefix: &str, from: i64) -> anyhow::Result<Batch> {
+    pub async fn watch(&self, prefix: &str, from: i64) -> anyhow::Result<WatchBatch> {
         let req = WatchRequest {
             create_request: WatchCreate {
                 key: B64.encode(prefix),
@@ -224,7 +229,7 @@
                 Change::Put(kv)
             });
         }
-        Ok(Batch { rev: r.header.revision, compacted: r.compact_revision > 0, changes })
+        Ok(WatchBatch { rev: r.header.revision, compacted: r.compact_revision > 0, changes })
     }
 }
 
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-use super::Lessor;
+use super::LeaseStore;
 use crate::events;
 use crate::metrics::{self, Retry};
 
@@ -20,7 +20,7 @@
 
 /// Holds `key` under a lease of `lease_ms`, with the latest of `value`,
 /// forever. Looks whether it is still there when `check` says so.
-pub async fn hold<L: Lessor>(
+pub async fn maintain<L: LeaseStore>(
     store: &L,
     key: &str,
     mut value: watch::Receiver<Vec<u8>>,
@@ -41,14 +41,19 @@
     }
 }
 
-async fn take<L: Lessor>(store: &L, key: &str, value: &[u8], ttl: Duration) -> anyhow::Result<i64> {
+async fn take<L: LeaseStore>(
+    store: &L,
+    key: &str,
+    value: &[u8],
+    ttl: Duration,
+) -> anyhow::Result<i64> {
     let lease = store.grant(ttl).await?;
     store.put(key, value, lease).await?;
     Ok(lease)
 }
 
 /// Renews `lease` until it has lapsed.
-async fn renew<L: Lessor>(
+async fn renew<L: LeaseStore>(
     store: &L,
     key: &str,
     lease: i64,
@@ -60,7 +65,7 @@
     let mut due = Instant::now() + beat;
     loop {
         tokio::select! {
-            () = check.notified() => match store.has(key).await {
+            () = check.notified() => match store.exists(key).await {
                 Ok(true) => {}
                 Ok(false) => {
                     log::warn!(event = events::AGENT_LAPSED, key = key, lease = lease; "entry gone");
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Change, Keeper, Kv};
+use super::{Change, Kv, WatchStore};
 use crate::admin::Peer;
 use crate::metrics::{self, Retry};
 
@@ -30,7 +30,7 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keys under one prefix, as last seen.
-pub type Copy = BTreeMap<Arc<str>, Kv>;
+pub type KeyMap = BTreeMap<Arc<str>, Kv>;
 
 /// A copy with the store's revision that it reflects; 0 for none yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// The store's revision.
     pub rev: i64,
     /// The keys at that revision.
-    pub keys: Copy,
+    pub keys: KeyMap,
 }
 
 impl Snapshot {
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Keeper::list`].
-    pub async fn list<K: Keeper>(store: &K, prefix: &str) -> anyhow::Result<Self> {
+    /// As [`WatchStore::list`].
+    pub async fn list<K: WatchStore>(store: &K, prefix: &str) -> anyhow::Result<Self> {
         let (rev, kvs) = store.list(prefix).await?;
         let keys = kvs.into_iter().map(|kv| (kv.key.clone(), kv)).collect();
         Ok(Self { rev, keys })
@@ -57,11 +57,11 @@
     pub fn apply(&mut self, rev: i64, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::Put(kv) if self.older(&kv.key, kv.rev) => {
+                Change::Put(kv) if self.accepts(&kv.key, kv.rev) => {
                     self.rev = self.rev.max(kv.rev);
                     self.keys.insert(kv.key.clone(), kv);
                 }
-                Change::Delete { key, rev } if self.older(&key, rev) => {
+                Change::Delete { key, rev } if self.accepts(&key, rev) => {
                     self.keys.remove(&key);
                 }
                 Change::Put(_) | Change::Delete { .. } => {}
@@ -74,12 +74,12 @@
     /// came in several pages may hold a key newer than the revision from which
     /// it is watched; what the watch then repeats must not bring back an older
     /// value.
-    fn older(&self, key: &str, rev: i64) -> bool {
+    fn accepts(&self, key: &str, rev: i64) -> bool {
         self.keys.get(key).is_none_or(|kv| kv.rev <= rev)
     }
 
     /// Takes `other` if it is newer; says whether it did.
-    pub fn advance(&mut self, other: Self) -> bool {
+    pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let newer = other.rev > self.rev;
         if newer {
             *self = other;
@@ -90,7 +90,7 @@
     /// A stamp of the keys under `prefix`, the same wherever the same keys are
     /// at the same revisions.
     #[must_use]
-    pub fn stamp(&self, prefix: &str) -> u64 {
+    pub fn fingerprint(&self, prefix: &str) -> u64 {
         let mut hash = Xxh3::new();
         for (key, kv) in self.keys.iter().filter(|(k, _)| k.starts_with(prefix)) {
             hash.update(key.as_bytes());
@@ -101,7 +101,7 @@
 
     /// Only the keys under `prefix`.
     #[must_use]
-    pub fn under(&self, prefix: &str) -> Self {
+    pub fn with_prefix(&self, prefix: &str) -> Self {
         let keys = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
         Self { rev: self.rev, keys: keys.map(|(k, v)| (k.clone(), v.clone())).collect() }
     }
@@ -117,10 +117,10 @@
     /// Processes that hold a copy of at least this prefix.
     pub peers: Vec<SocketAddr>,
     /// When they are asked.
-    pub ask: Ask,
+    pub peer_fallback: PeerFallback,
     /// Pause after a change before the next is asked for: changes that come
     /// together (many agents start at once) cost one call instead of many.
-    pub gather: Duration,
+    pub batch_delay: Duration,
     /// Has the service read again at once: after a pause of the process, an answer on its
     /// way may be old.
     pub refresh: Arc<Notify>,
@@ -128,25 +128,25 @@
 
 /// When a mirror whose service fails asks its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum PeerFallback {
     /// While it has no copy. Where a missing announcement counts as a dead
     /// process, a peer's newer copy may carry a lapse of leases that this
     /// process was spared, and a process that starts next would believe it.
-    Empty,
+    WhenEmpty,
     /// At each failure, where processes are judged by their own answers.
     Always,
 }
 
 /// What a mirror tells its owner.
 #[derive(Debug)]
-pub enum News<'a> {
+pub enum MirrorEvent<'a> {
     /// The copy changed.
-    Copy(&'a Snapshot),
+    Updated(&'a Snapshot),
     /// A call to the service failed; it is made again after a pause.
-    Failed(&'a anyhow::Error),
+    StoreFailed(&'a anyhow::Error),
     /// The service answers, for the first time, after a failure or after
     /// [`Source::refresh`].
-    Back,
+    Recovered,
 }
 
 /// Keeps a copy current and calls `tell` with what happens, forever.
@@ -156,9 +156,9 @@
 /// again: changes outside that prefix were not seen.
 pub async fn follow<K, S, F>(source: &Source<K>, scope: S, mut tell: F)
 where
-    K: Keeper,
+    K: WatchStore,
     S: Fn(&Snapshot) -> Option<&'static str>,
-    F: FnMut(News<'_>),
+    F: FnMut(MirrorEvent<'_>),
 {
     let mut copy = Snapshot::default();
     let mut narrow = None;
@@ -177,15 +177,15 @@
         };
         if step.is_ok() && lost {
             lost = false;
-            tell(News::Back);
+            tell(MirrorEvent::Recovered);
         }
         match step {
             Ok(Step::Same) => list = false,
             Ok(Step::Changed) => {
                 list = false;
-                tell(News::Copy(&copy));
-                if !source.gather.is_zero() {
-                    tokio::time::sleep(source.gather).await;
+                tell(MirrorEvent::Updated(&copy));
+                if !source.batch_delay.is_zero() {
+                    tokio::time::sleep(source.batch_delay).await;
                 }
             }
             Ok(Step::Compacted) => {
@@ -193,12 +193,12 @@
                 list = true;
             }
             Err(e) => {
-                tell(News::Failed(&e));
+                tell(MirrorEvent::StoreFailed(&e));
                 metrics::retried(Retry::StoreError);
                 lost = true;
-                let ask = source.ask == Ask::Always || copy.rev == 0;
+                let ask = source.peer_fallback == PeerFallback::Always || copy.rev == 0;
                 if ask && from_peers(source, &mut copy).await {
-                    tell(News::Copy(&copy));
+                    tell(MirrorEvent::Updated(&copy));
                 }
                 tokio::time::sleep(if copy.rev == 0 { EMPTY_PAUSE } else { PAUSE }).await;
             }
@@ -213,7 +213,7 @@
     Compacted,
 }
 
-async fn read<K: Keeper>(
+async fn read<K: WatchStore>(
     source: &Source<K>,
     list: bool,
     narrow: Option<&str>,
@@ -223,7 +223,7 @@
     if list { relist(source, copy).await } else { watch(source, narrow, copy, wait).await }
 }
 
-async fn relist<K: Keeper>(source: &Source<K>, copy: &mut Snapshot) -> anyhow::Result<Step> {
+async fn relist<K: WatchStore>(source: &Source<K>, copy: &mut Snapshot) -> anyhow::Result<Step> {
     let listed = Snapshot::list(&source.store, &source.prefix).await?;
     if listed.rev < copy.rev {
         let (rev, prefix) = (listed.rev, &source.prefix);
@@ -236,7 +236,7 @@
     Ok(if changed { Step::Changed } else { Step::Same })
 }
 
-async fn watch<K: Keeper>(
+async fn watch<K: WatchStore>(
     source: &Source<K>,
     narrow: Option<&str>,
     copy: &mut Snapshot,
@@ -260,7 +260,7 @@
     let copies = futures_util::future::join_all(asked).await;
     let mut found = false;
     for theirs in copies.into_iter().flatten() {
-        found |= copy.advance(theirs.under(&source.prefix));
+        found |= copy.replace_if_newer(theirs.with_prefix(&source.prefix));
     }
     found
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,20 +7,20 @@
 //! [`Faults`]).
 
 pub mod client;
-mod keeper;
 pub mod lease;
 pub mod mirror;
 pub mod server;
+mod traits;
 pub mod types;
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-pub use client::{Batch, Client};
-pub use keeper::{Keeper, Lessor};
+pub use client::{Client, WatchBatch};
 pub use mirror::Snapshot;
 pub use server::{Faults, serve};
+pub use traits::{LeaseStore, WatchStore};
 
 /// A key and its value as the rest of the crate sees them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,11 +55,11 @@
 /// processes announce under leases. Agents follow `config/` only, so the
 /// announcements of a large fleet do not reach them.
 #[derive(Clone, Debug)]
-pub struct Keys {
+pub struct KeyLayout {
     prefix: Arc<str>,
 }
 
-impl Keys {
+impl KeyLayout {
     /// Keys under `prefix`, such as `/jujubepost`.
     #[must_use]
     pub fn new(prefix: Arc<str>) -> Self {
@@ -68,19 +68,19 @@
 
     /// Everything jujubepost keeps.
     #[must_use]
-    pub fn all(&self) -> String {
+    pub fn root_prefix(&self) -> String {
         format!("{}/", self.prefix)
     }
 
     /// What operators order.
     #[must_use]
-    pub fn config(&self) -> String {
+    pub fn config_prefix(&self) -> String {
         format!("{}/config/", self.prefix)
     }
 
     /// Every target's announcement.
     #[must_use]
-    pub fn targets(&self) -> String {
+    pub fn targets_prefix(&self) -> String {
         format!("{}/live/targets/", self.prefix)
     }
 
@@ -93,12 +93,12 @@
     /// A target's announcement, written by its agent under a lease.
     #[must_use]
     pub fn target(&self, name: &str) -> String {
-        format!("{}{name}", self.targets())
+        format!("{}{name}", self.targets_prefix())
     }
 
     /// A drain order for a target, written by operators.
     #[must_use]
-    pub fn drain(&self, name: &str) -> String {
+    pub fn drain_order(&self, name: &str) -> String {
         format!("{}/config/drain/{name}", self.prefix)
     }
 
--- a/src/store/server/calls.rs
+++ b/src/store/server/calls.rs
@@ -7,7 +7,7 @@
 use ntex::web::types::{Json, State};
 use ntex::web::{self, HttpResponse, ServiceConfig};
 
-use super::{Db, Shared, gate, lost};
+use super::{Db, ServerState, inject_faults, loses_answer};
 use crate::store::types::{
     DeleteRequest, Event, HeaderResponse, KeepAliveResponse, Lease, PutRequest, RangeRequest,
     RangeResponse, TxnRequest, TxnResponse, WatchRequest, WatchResponse, WatchResult,
@@ -35,8 +35,8 @@
     if end.is_empty() { key == start } else { key >= start && key < end }
 }
 
-async fn range(st: State<Shared>, req: Json<RangeRequest>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn range(st: State<ServerState>, req: Json<RangeRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let (start, end) = match (decode(&req.key), decode(&req.range_end)) {
@@ -46,15 +46,15 @@
     let mut db = st.lock();
     db.stats.reads += 1;
     let kvs = if end.is_empty() {
-        db.kvs.get(&start).map(|e| Db::kv(&start, e)).into_iter().collect()
+        db.kvs.get(&start).map(|e| Db::to_key_value(&start, e)).into_iter().collect()
     } else {
-        db.kvs.range(start..end).map(|(k, e)| Db::kv(k, e)).collect()
+        db.kvs.range(start..end).map(|(k, e)| Db::to_key_value(k, e)).collect()
     };
     HttpResponse::Ok().json(&RangeResponse { header: db.header(), kvs })
 }
 
-async fn put(st: State<Shared>, req: Json<PutRequest>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn put(st: State<ServerState>, req: Json<PutRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let (key, value) = match (decode(&req.key), decode(&req.value)) {
@@ -63,19 +63,19 @@
     };
     let mut db = st.lock();
     db.stats.writes += 1;
-    if !db.holds(req.lease) {
+    if !db.has_lease(req.lease) {
         return HttpResponse::NotFound().body("store: lease not found");
     }
     db.put(key, value, req.lease);
     st.notify.notify_waiters();
-    if lost(&mut db) {
+    if loses_answer(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&HeaderResponse { header: db.header() })
 }
 
-async fn txn(st: State<Shared>, req: Json<TxnRequest>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn txn(st: State<ServerState>, req: Json<TxnRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
@@ -85,7 +85,7 @@
         let Ok(key) = decode(&c.key) else {
             return HttpResponse::BadRequest().body("base64");
         };
-        let have = db.kvs.get(&key).map_or(0, |e| e.modr);
+        let have = db.kvs.get(&key).map_or(0, |e| e.mod_rev);
         ok &= have == c.mod_revision;
     }
     if ok {
@@ -97,15 +97,15 @@
             db.put(key, value, op.request_put.lease);
         }
         st.notify.notify_waiters();
-        if lost(&mut db) {
+        if loses_answer(&mut db) {
             return HttpResponse::GatewayTimeout().finish();
         }
     }
     HttpResponse::Ok().json(&TxnResponse { header: db.header(), succeeded: ok })
 }
 
-async fn delete(st: State<Shared>, req: Json<DeleteRequest>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn delete(st: State<ServerState>, req: Json<DeleteRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let Ok(key) = decode(&req.key) else {
@@ -116,28 +116,28 @@
     if db.delete(&key) {
         st.notify.notify_waiters();
     }
-    if lost(&mut db) {
+    if loses_answer(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&HeaderResponse { header: db.header() })
 }
 
-async fn grant(st: State<Shared>, req: Json<Lease>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn grant(st: State<ServerState>, req: Json<Lease>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
     db.stats.writes += 1;
     let ttl = req.ttl.max(1);
     let id = db.grant(Duration::from_secs(ttl as u64));
-    if lost(&mut db) {
+    if loses_answer(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&Lease { id, ttl })
 }
 
-async fn keepalive(st: State<Shared>, req: Json<Lease>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn keepalive(st: State<ServerState>, req: Json<Lease>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let mut db = st.lock();
@@ -146,8 +146,8 @@
     HttpResponse::Ok().json(&KeepAliveResponse { result: Lease { id: req.id, ttl } })
 }
 
-async fn watch(st: State<Shared>, req: Json<WatchRequest>) -> HttpResponse {
-    if let Err(r) = gate(&st).await {
+async fn watch(st: State<ServerState>, req: Json<WatchRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&st).await {
         return r;
     }
     let c = &req.create_request;
@@ -163,7 +163,7 @@
         notified.as_mut().enable();
         {
             let db = st.lock();
-            if db.forgotten(c.start_revision) {
+            if db.is_compacted(c.start_revision) {
                 let oldest = db.history.first().map_or(db.rev + 1, |(r, _)| *r);
                 let result = WatchResult {
                     header: db.header(),
--- a/src/store/server/db.rs
+++ b/src/store/server/db.rs
@@ -21,11 +21,14 @@
     /// Every call is answered this many milliseconds late.
     pub delay_ms: u64,
     /// The next this many writes take effect but their answer is lost (504).
-    pub lose: u32,
+    #[serde(rename = "lose")]
+    pub lost_answers: u32,
     /// Keepalives are refused, so leases lapse while their holders run on.
-    pub lapse: bool,
+    #[serde(rename = "lapse")]
+    pub refuse_keepalives: bool,
     /// The history kept for watches is forgotten at once.
-    pub forget: bool,
+    #[serde(rename = "forget")]
+    pub clear_history: bool,
 }
 
 /// Calls counted by kind.
@@ -47,9 +50,9 @@
     /// The value.
     pub value: Vec<u8>,
     /// Revision of its creation.
-    pub create: i64,
+    pub create_rev: i64,
     /// Revision of its last change.
-    pub modr: i64,
+    pub mod_rev: i64,
     /// Its lease, or 0.
     pub lease: i64,
 }
@@ -86,12 +89,12 @@
     }
 
     /// A key as it is answered.
-    pub fn kv(key: &[u8], e: &Entry) -> KeyValue {
+    pub fn to_key_value(key: &[u8], e: &Entry) -> KeyValue {
         KeyValue {
             key: B64.encode(key),
             value: B64.encode(&e.value),
-            create_revision: e.create,
-            mod_revision: e.modr,
+            create_revision: e.create_rev,
+            mod_revision: e.mod_rev,
             lease: e.lease,
         }
     }
@@ -99,7 +102,7 @@
     /// Writes a key.
     pub fn put(&mut self, key: Vec<u8>, value: Vec<u8>, lease: i64) {
         self.rev += 1;
-        let create = self.kvs.get(&key).map_or(self.rev, |e| e.create);
+        let create = self.kvs.get(&key).map_or(self.rev, |e| e.create_rev);
         if let Some(old) = self.kvs.get(&key)
             && old.lease != 0
             && old.lease != lease
@@ -110,8 +113,8 @@
         if let Some(l) = self.leases.get_mut(&lease) {
             l.keys.insert(key.clone());
         }
-        let e = Entry { value, create, modr: self.rev, lease };
-        let ev = Event { kind: "PUT".into(), kv: Self::kv(&key, &e) };
+        let e = Entry { value, create_rev: create, mod_rev: self.rev, lease };
+        let ev = Event { kind: "PUT".into(), kv: Self::to_key_value(&key, &e) };
         self.kvs.insert(key, e);
         self.record(ev);
     }
@@ -139,13 +142,13 @@
     }
 
     /// Whether the lease stands.
-    pub fn holds(&self, lease: i64) -> bool {
+    pub fn has_lease(&self, lease: i64) -> bool {
         lease == 0 || self.leases.contains_key(&lease)
     }
 
     /// Renews a lease; its time to live, or none when it has ended.
     pub fn renew(&mut self, lease: i64) -> Option<Duration> {
-        if self.faults.lapse {
+        if self.faults.refuse_keepalives {
             return None;
         }
         let l = self.leases.get_mut(&lease)?;
@@ -154,7 +157,7 @@
     }
 
     /// Whether changes since revision `start` are no longer all known.
-    pub fn forgotten(&self, start: i64) -> bool {
+    pub fn is_compacted(&self, start: i64) -> bool {
         let oldest = self.history.first().map_or(self.rev + 1, |(r, _)| *r);
         start < oldest && start <= self.rev && self.rev > 0
     }
@@ -168,7 +171,7 @@
     }
 
     /// Ends the leases whose time is over; says whether there were any.
-    pub fn expire(&mut self, now: Instant) -> bool {
+    pub fn drop_lapsed_leases(&mut self, now: Instant) -> bool {
         let lapsed: Vec<i64> =
             self.leases.iter().filter(|(_, l)| l.deadline <= now).map(|(&id, _)| id).collect();
         for id in &lapsed {
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -31,13 +31,13 @@
 
 /// The stand-in's state, shared by its handlers.
 #[derive(Clone)]
-pub(crate) struct Shared {
+pub(crate) struct ServerState {
     db: Arc<Mutex<Db>>,
     /// Tells waiting watches of changes.
     pub notify: Arc<Notify>,
 }
 
-impl Shared {
+impl ServerState {
     /// The state, for one call.
     pub fn lock(&self) -> MutexGuard<'_, Db> {
         self.db.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -45,7 +45,7 @@
 }
 
 /// Applies the configured delay and outage; `Err` holds the failure answer.
-pub(crate) async fn gate(st: &Shared) -> Result<(), HttpResponse> {
+pub(crate) async fn inject_faults(st: &ServerState) -> Result<(), HttpResponse> {
     let faults = st.lock().faults.clone();
     if faults.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -57,26 +57,26 @@
 }
 
 /// After a write took effect: the answer is lost when a loss is pending.
-pub(crate) fn lost(db: &mut Db) -> bool {
-    if db.faults.lose > 0 {
-        db.faults.lose -= 1;
+pub(crate) fn loses_answer(db: &mut Db) -> bool {
+    if db.faults.lost_answers > 0 {
+        db.faults.lost_answers -= 1;
         log::warn!("{} answer of a write lost on purpose", events::STORE_LOST);
         return true;
     }
     false
 }
 
-async fn fault(st: State<Shared>, req: Json<Faults>) -> HttpResponse {
+async fn fault(st: State<ServerState>, req: Json<Faults>) -> HttpResponse {
     log::warn!("{} faults set to {:?}", events::STORE_FAULT, req.0);
     let mut db = st.lock();
-    if req.forget {
+    if req.clear_history {
         db.history.clear();
     }
     db.faults = req.0;
     HttpResponse::Ok().finish()
 }
 
-async fn stats(st: State<Shared>) -> HttpResponse {
+async fn stats(st: State<ServerState>) -> HttpResponse {
     let db = st.lock();
     HttpResponse::Ok().json(&db.stats)
 }
@@ -88,12 +88,12 @@
 ///
 /// Fails when the address cannot be bound.
 pub async fn serve(addr: SocketAddr, more: fn(&mut ServiceConfig)) -> anyhow::Result<()> {
-    let shared = Shared { db: Arc::default(), notify: Arc::new(Notify::new()) };
+    let shared = ServerState { db: Arc::default(), notify: Arc::new(Notify::new()) };
     let ticker = shared.clone();
     let tick = tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LEASE_TICK).await;
-            let expired = ticker.lock().expire(Instant::now());
+            let expired = ticker.lock().drop_lapsed_leases(Instant::now());
             if expired {
                 log::info!("{} leases lapsed", events::STORE_LAPSED);
                 ticker.notify.notify_waiters();
--- a/src/store/keeper.rs
+++ b/src/store/traits.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use super::{Batch, Client, Kv};
+use super::{Client, Kv, WatchBatch};
 
 /// Reading keys and following their changes.
-pub trait Keeper: Clone {
+pub trait WatchStore: Clone {
     /// Reads every key that starts with `prefix`, with a revision from which
     /// watching misses no later change.
     ///
@@ -22,17 +22,17 @@
     ///
     /// # Errors
     ///
-    /// As [`Keeper::list`].
+    /// As [`WatchStore::list`].
     fn watch(
         &self,
         prefix: &str,
         after: i64,
         wait: bool,
-    ) -> impl Future<Output = anyhow::Result<Batch>>;
+    ) -> impl Future<Output = anyhow::Result<WatchBatch>>;
 }
 
 /// Holding a key under a lease.
-pub trait Lessor {
+pub trait LeaseStore {
     /// Takes a lease; returns its identifier.
     ///
     /// # Errors
@@ -45,14 +45,14 @@
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn keepalive(&self, lease: i64) -> impl Future<Output = anyhow::Result<bool>>;
 
     /// Writes one key under `lease` (0 for none).
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn put(&self, key: &str, value: &[u8], lease: i64) -> impl Future<Output = anyhow::Result<()>>;
 
     /// Whether the key is there: the service may take keys away whose leases
@@ -60,28 +60,28 @@
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
-    fn has(&self, key: &str) -> impl Future<Output = anyhow::Result<bool>>;
+    /// As [`LeaseStore::grant`].
+    fn exists(&self, key: &str) -> impl Future<Output = anyhow::Result<bool>>;
 
     /// Removes one key.
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn delete(&self, key: &str) -> impl Future<Output = anyhow::Result<()>>;
 }
 
-impl Keeper for Client {
+impl WatchStore for Client {
     async fn list(&self, prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Client::list(self, prefix).await
     }
 
-    async fn watch(&self, prefix: &str, after: i64, _wait: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, prefix: &str, after: i64, _wait: bool) -> anyhow::Result<WatchBatch> {
         Client::watch(self, prefix, after + 1).await
     }
 }
 
-impl Lessor for Client {
+impl LeaseStore for Client {
     async fn grant(&self, ttl: Duration) -> anyhow::Result<i64> {
         let secs = i64::try_from(ttl.as_secs()).unwrap_or(i64::MAX);
         Client::grant(self, secs.max(1)).await
@@ -95,7 +95,7 @@
         Client::put(self, key, value, lease).await
     }
 
-    async fn has(&self, key: &str) -> anyhow::Result<bool> {
+    async fn exists(&self, key: &str) -> anyhow::Result<bool> {
         Ok(Client::get(self, key).await?.is_some())
     }
 
--- a/src/trial/caller.rs
+++ b/src/trial/caller.rs
@@ -55,7 +55,7 @@
             while let Ok((n, _)) = from.recv_from(&mut buf).await {
                 let Ok(seg) = packet::decode(&buf[..n]) else { continue };
                 if let Some(inbox) = to.borrow().get(&seg.by_target()) {
-                    let _ = inbox.send((seg, buf[packet::HEAD..n].to_vec()));
+                    let _ = inbox.send((seg, buf[packet::HEADER_LEN..n].to_vec()));
                 }
             }
         });
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -26,7 +26,7 @@
 pub use router::Hash;
 
 use crate::platform;
-use crate::store::Lessor;
+use crate::store::LeaseStore;
 use crate::up::{Children, Signal};
 use plan::{FIRST_IDLE, IDLE_VIP, Ports, VIP, balancer_ip, caller_ip, target_ip};
 use router::Router;
@@ -111,9 +111,9 @@
         let idle = (0..self.plan.idle_routes)
             .map(|n| ("idle", SocketAddrV4::new(IDLE_VIP, FIRST_IDLE + n)));
         let routes: Vec<_> = used.into_iter().chain(idle).collect();
-        let config = platform::config::body(version, &routes).to_string();
+        let config = platform::config::encode(version, &routes).to_string();
         let client = platform::kv::Client::new(self.store().into(), CALL, CALL).await?;
-        let put = client.put(platform::config::KEY, config.as_bytes(), 0).await;
+        let put = client.put(platform::config::CONFIG_KEY, config.as_bytes(), 0).await;
         put.context("trial: writing the configuration")
     }
 
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -15,7 +15,7 @@
 use super::Report;
 use crate::flow::{Flags, Flow, Segment};
 use crate::hold;
-use crate::platform::{packet, report};
+use crate::platform::{instances, packet};
 
 /// How often a target reports itself.
 const HEARTBEAT: Duration = Duration::from_millis(400);
@@ -128,8 +128,8 @@
     for seq in 1_u64.. {
         let draining = state.draining.get();
         let word = if draining { hold::State::Draining } else { hold::State::Ready };
-        let body = report::body(service, app, word, seq);
-        let url = format!("http://{reports}{}{id}", report::HEARTBEAT);
+        let body = instances::heartbeat_json(service, app, word, seq);
+        let url = format!("http://{reports}{}{id}", instances::HEARTBEAT_PATH);
         let call = client.post(url).send_json(&body);
         let ok = matches!(
             tokio::time::timeout(Duration::from_secs(1), call).await,
@@ -139,7 +139,7 @@
         if draining {
             left = left.saturating_sub(HEARTBEAT);
             if left.is_zero() {
-                let url = format!("http://{reports}{}{id}", report::GONE);
+                let url = format!("http://{reports}{}{id}", instances::DEREGISTER_PATH);
                 let _ = client.post(url).send().await;
                 return;
             }
@@ -199,7 +199,7 @@
             self.send(flow, Flags { fin: true, ..ack }, seq, next, &[]).await;
         } else if seg.len > 0 && seg.seq == open.next {
             open.next = open.next.wrapping_add(u32::from(seg.len));
-            let text = String::from_utf8_lossy(&bytes[packet::HEAD..]).into_owned();
+            let text = String::from_utf8_lossy(&bytes[packet::HEADER_LEN..]).into_owned();
             tokio::time::sleep(WORK).await;
             self.run(flow, &text).await;
         } else if let (true, Some(last)) = (seg.len > 0, open.last.clone()) {
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -21,7 +21,7 @@
 use crate::bench;
 use crate::script::{self, Action, Step};
 use crate::settings::Settings;
-use crate::store::{self, Keys, Kv};
+use crate::store::{self, KeyLayout, Kv};
 
 /// The embedded Suryakosh example.
 pub const SURYAKOSH: &str = include_str!("../../examples/suryakosh.jsonc");
@@ -92,7 +92,7 @@
     async fn ready(&mut self) -> anyhow::Result<()> {
         let s = self.settings.clone();
         let store = store::Client::new(s.store.addr, Duration::from_millis(500)).await;
-        let keys = Keys::new(s.store.prefix.clone());
+        let keys = KeyLayout::new(s.store.prefix.clone());
         let deadline = Instant::now() + READY;
         loop {
             self.children.check_alive()?;
@@ -100,7 +100,7 @@
                 bail!("up: site {} not up within {READY:?}", s.site);
             }
             if crate::ctl::apply(&store, &keys, &s.profiles).await.is_ok()
-                && let Ok((_, kvs)) = store.list(&keys.all()).await
+                && let Ok((_, kvs)) = store.list(&keys.root_prefix()).await
             {
                 let count = |kind| {
                     let of_kind = |kv: &&Kv| keys.split(&kv.key).is_some_and(|(k, _)| k == kind);
--- a/tests/balancer_stop.rs
+++ b/tests/balancer_stop.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::store::{self, Keys};
+use jujubepost::store::{self, KeyLayout};
 
 #[ntex::test]
 async fn stop_breaks_nothing() {
     let mut site = common::start("lbstop", 22800, 3, 3, 2).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     let args = Load { feeds: 6, requests: 60, secs: 3, ..Load::default() };
     let s2 = s.clone();
     let run = tokio::task::spawn_local(async move { bench::measure(&s2, &args).await });
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -8,7 +8,7 @@
 use jujubepost::edge::Settings;
 use jujubepost::hold::{Start, State};
 use jujubepost::platform::config;
-use jujubepost::platform::report::{self, Call};
+use jujubepost::platform::instances::{self, InstanceCall};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -59,8 +59,8 @@
     assert!((8_820..=9_180).contains(&meter), "{meter}");
 }
 
-fn decode(path: &str, body: &[u8]) -> anyhow::Result<Option<Call>> {
-    report::decode(path, body, "10.128.0.9:8080".parse().unwrap())
+fn decode(path: &str, body: &[u8]) -> anyhow::Result<Option<InstanceCall>> {
+    instances::decode(path, body, "10.128.0.9:8080".parse().unwrap())
 }
 
 #[test]
@@ -68,17 +68,17 @@
     let body = r#"{"service":"meter","address":"10.128.0.9:8080","zone":"gjw-a","version":"v1",
         "capacity":5,"state":"draining","warmup_left_ms":700,"seq":4}"#;
     let call = decode("/v1/Instances.Heartbeat/i-7f3a91c2", body.as_bytes()).unwrap();
-    let Some(Call::Heartbeat(r)) = call else { panic!("{call:?}") };
+    let Some(InstanceCall::Heartbeat(r)) = call else { panic!("{call:?}") };
     assert_eq!((&*r.start.id, r.service.as_str(), r.slots, r.seq), ("i-7f3a91c2", "meter", 5, 4));
     assert_eq!((r.state, r.cold), (State::Draining, Duration::from_millis(700)));
     let born = body.replace("\"seq\":4", "\"seq\":4,\"born\":1796265600123");
     let call = decode("/v1/Instances.Heartbeat/i-1", born.as_bytes()).unwrap();
-    let Some(Call::Heartbeat(r)) = call else { panic!("{call:?}") };
+    let Some(InstanceCall::Heartbeat(r)) = call else { panic!("{call:?}") };
     assert_eq!(r.start, Start { id: "i-1".into(), born: Some(1_796_265_600_123) });
     let gone = decode("/v1/Instances.Deregister/i-1", br#"{"born":7}"#).unwrap();
-    assert_eq!(gone, Some(Call::Gone(Start { id: "i-1".into(), born: Some(7) })));
+    assert_eq!(gone, Some(InstanceCall::Deregister(Start { id: "i-1".into(), born: Some(7) })));
     let gone = decode("/v1/Instances.Deregister/i-7f3a91c2", b"").unwrap();
-    assert_eq!(gone, Some(Call::Gone("i-7f3a91c2".into())));
+    assert_eq!(gone, Some(InstanceCall::Deregister("i-7f3a91c2".into())));
     assert_eq!(decode("/other", b"").unwrap(), None);
     let bad = decode("/v1/Instances.Heartbeat/i-1", br#"{"service":"m","capacity":"x"}"#);
     assert!(format!("{:#}", bad.unwrap_err()).contains("i-1"));
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::store::{self, Keys};
+use jujubepost::store::{self, KeyLayout};
 
 #[ntex::test]
 async fn drain_keeps_feeds() {
     let site = common::start("drain", 21900, 2, 3, 0).await;
     let settings = site.settings.clone();
     let store = store::Client::new(settings.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(settings.store.prefix.clone());
+    let keys = KeyLayout::new(settings.store.prefix.clone());
     let feeds = Load { feeds: 9, requests: 1, secs: 5, ..Load::default() };
     let s2 = settings.clone();
     let run = tokio::task::spawn_local(async move { bench::measure(&s2, &feeds).await });
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    store.put(&keys.drain("meter-1"), b"{\"since_ms\":0}", 0).await.unwrap();
+    store.put(&keys.drain_order("meter-1"), b"{\"since_ms\":0}", 0).await.unwrap();
     let rows = run.await.unwrap();
     let meter = rows.iter().find(|r| r.profile == "meter").unwrap();
     assert_eq!(meter.broken, 0, "{meter:?}");
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -11,7 +11,7 @@
 use jujubepost::bus;
 use jujubepost::edge::{AGENTS, Reader};
 use jujubepost::hold::{Holder, State};
-use jujubepost::platform::report::{self, Call};
+use jujubepost::platform::instances::{self, InstanceCall};
 use jujubepost::platform::{config, packet};
 use jujubepost::relay::{self, parts};
 use jujubepost::store::{Kv, Snapshot};
@@ -70,8 +70,8 @@
     })
 }
 
-fn decode(body: &[u8]) -> anyhow::Result<Option<Call>> {
-    report::decode("/v1/Instances.Heartbeat/i", body, "10.1.0.1:8165".parse().unwrap())
+fn decode(body: &[u8]) -> anyhow::Result<Option<InstanceCall>> {
+    instances::decode("/v1/Instances.Heartbeat/i", body, "10.1.0.1:8165".parse().unwrap())
 }
 
 fn entry(n: u8) -> Kv {
@@ -100,7 +100,7 @@
             serde_json::to_vec(&r).unwrap()
         };
         let hear = |h: &mut Holder, body: &[u8]| {
-            if let Ok(Some(Call::Heartbeat(r))) = decode(body) {
+            if let Ok(Some(InstanceCall::Heartbeat(r))) = decode(body) {
                 h.report(r, now);
             }
         };
@@ -130,7 +130,7 @@
     fn config_kept(value in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut s = steer(1, Instant::now());
         let mut reader = Reader::default();
-        let kv = Kv { key: config::KEY.into(), value, rev: 3, lease: 0 };
+        let kv = Kv { key: config::CONFIG_KEY.into(), value, rev: 3, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([kv, entry(1)]));
         prop_assert_eq!(s.version(), Some(1));
     }
@@ -143,7 +143,7 @@
         let _ = config::decode(&bytes);
         let _ = parts::decode(&bytes);
         let _ = decode(&bytes);
-        let _ = report::decode("/v1/Instances.Deregister/i", &bytes, agent(1));
+        let _ = instances::decode("/v1/Instances.Deregister/i", &bytes, agent(1));
     }
 }
 
--- a/tests/frozen.rs
+++ b/tests/frozen.rs
@@ -11,8 +11,8 @@
 
 use jujubepost::platform::kv;
 use jujubepost::store::lease;
-use jujubepost::store::mirror::{self, Ask, Source};
-use jujubepost::store::{Batch, Change, Keeper, Kv, Lessor};
+use jujubepost::store::mirror::{self, PeerFallback, Source};
+use jujubepost::store::{Change, Kv, LeaseStore, WatchBatch, WatchStore};
 use tokio::sync::{Notify, watch};
 
 const MS: Duration = Duration::from_millis(1);
@@ -106,19 +106,19 @@
     }
 }
 
-impl Keeper for Store {
+impl WatchStore for Store {
     async fn list(&self, _prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Ok((1, Vec::new()))
     }
 
-    async fn watch(&self, _prefix: &str, _after: i64, _wait: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, _prefix: &str, _after: i64, _wait: bool) -> anyhow::Result<WatchBatch> {
         self.call().await;
         let kv = Kv { key: "op/config".into(), value: Vec::new(), rev: 2, lease: 0 };
-        Ok(Batch { rev: 2, compacted: false, changes: vec![Change::Put(kv)] })
+        Ok(WatchBatch { rev: 2, compacted: false, changes: vec![Change::Put(kv)] })
     }
 }
 
-impl Lessor for Store {
+impl LeaseStore for Store {
     async fn grant(&self, _ttl: Duration) -> anyhow::Result<i64> {
         self.call().await;
         anyhow::bail!("store is away")
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    async fn has(&self, _key: &str) -> anyhow::Result<bool> {
+    async fn exists(&self, _key: &str) -> anyhow::Result<bool> {
         Ok(true)
     }
 
@@ -150,8 +150,8 @@
         store: store.clone(),
         prefix: String::new(),
         peers: Vec::new(),
-        ask: Ask::Empty,
-        gather: 300 * MS,
+        peer_fallback: PeerFallback::WhenEmpty,
+        batch_delay: 300 * MS,
         refresh: Arc::default(),
     };
     let late = tokio::select! {
@@ -170,7 +170,7 @@
     let check = Notify::new();
     let late = tokio::select! {
         late = store.second_call() => late,
-        () = lease::hold(&store, "key", values, 10_000, &check) => unreachable!(),
+        () = lease::maintain(&store, "key", values, 10_000, &check) => unreachable!(),
     };
     assert!(late < ENTRY_BACK, "next try {late:?} after the resumption");
 }
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -9,14 +9,14 @@
 use jujubepost::bench::{self, Load};
 use jujubepost::ctl::{self, Outcome, fleet};
 use jujubepost::settings::Settings;
-use jujubepost::store::{self, Faults, Keys, Snapshot};
+use jujubepost::store::{self, Faults, KeyLayout, Snapshot};
 
 const BOUND: Duration = Duration::from_secs(3);
 
 /// Lowers the meter profile's flow limit.
 async fn limit(s: &Settings, flows: u32) {
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
     let mut spec = s.profiles[0].clone();
     spec.max_flows = flows;
@@ -94,7 +94,7 @@
 #[test]
 fn older_copy_ignored() {
     let mut copy = Snapshot { rev: 9, ..Snapshot::default() };
-    assert!(!copy.advance(Snapshot { rev: 8, ..Snapshot::default() }));
-    assert!(copy.advance(Snapshot { rev: 10, ..Snapshot::default() }));
+    assert!(!copy.replace_if_newer(Snapshot { rev: 8, ..Snapshot::default() }));
+    assert!(copy.replace_if_newer(Snapshot { rev: 10, ..Snapshot::default() }));
     assert_eq!(copy.rev, 10);
 }
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -9,7 +9,7 @@
 use jujubepost::metrics::Refusal;
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
-use jujubepost::store::{Keys, Kv};
+use jujubepost::store::{KeyLayout, Kv};
 use jujubepost::wire::{Kind, Offer, Owner, Packet, Stage};
 
 fn kv(key: String, value: Vec<u8>) -> (Arc<str>, Kv) {
@@ -18,7 +18,7 @@
 }
 
 fn view() -> View {
-    let keys = Keys::new("/j".into());
+    let keys = KeyLayout::new("/j".into());
     let mut copy = BTreeMap::new();
     for (name, service, port) in
         [("meter", Service::Meter, 9020), ("fieldlog", Service::Fieldlog, 9021)]
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::store::{self, Keys};
+use jujubepost::store::{self, KeyLayout};
 use jujubepost::up::Signal;
 
 #[ntex::test]
@@ -15,7 +15,7 @@
     let site = common::start("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     site.send("agent-meter-1", Signal::SIGSTOP);
     // Lease is 1 s in the test site: wait until the store has dropped it.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
--- a/tests/lease_renewal.rs
+++ b/tests/lease_renewal.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use jujubepost::store::{Lessor, lease};
+use jujubepost::store::{LeaseStore, lease};
 use tokio::sync::{Notify, watch};
 
 const MS: Duration = Duration::from_millis(1);
@@ -30,7 +30,7 @@
     }
 }
 
-impl Lessor for Store {
+impl LeaseStore for Store {
     async fn grant(&self, _ttl: Duration) -> anyhow::Result<i64> {
         self.renew();
         Ok(1)
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    async fn has(&self, _key: &str) -> anyhow::Result<bool> {
+    async fn exists(&self, _key: &str) -> anyhow::Result<bool> {
         Ok(true)
     }
 
@@ -71,7 +71,7 @@
     };
     tokio::select! {
         () = busy => store.renew(),
-        () = lease::hold(&store, "key", values, TTL_MS, &check) => unreachable!(),
+        () = lease::maintain(&store, "key", values, TTL_MS, &check) => unreachable!(),
     }
     let longest = store.longest.get();
     assert!(longest < Duration::from_millis(TTL_MS), "not renewed for {longest:?}");
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -25,7 +25,7 @@
 use jujubepost::ctl::{self, Outcome, fleet};
 use jujubepost::script::{Action, Step};
 use jujubepost::settings::Settings;
-use jujubepost::store::{self, Keys};
+use jujubepost::store::{self, KeyLayout};
 use jujubepost::target;
 use jujubepost::up::Site;
 
@@ -166,7 +166,7 @@
 /// Two operators change the meter profile from the same revision.
 async fn race(s: &Settings) -> [Outcome; 2] {
     let store = store::Client::new(s.store.addr, Duration::from_secs(3)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
     let mut specs = [s.profiles[0].clone(), s.profiles[0].clone()];
     specs[0].max_flows = 900 + rand::random_range(0..50);
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use jujubepost::ctl::{self, Outcome};
-use jujubepost::store::{self, Faults, Keys};
+use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
 async fn one_of_two_wins() {
     let site = common::start("race", 21600, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
     let mut a = s.profiles[0].clone();
     a.max_flows = 10;
@@ -32,9 +32,9 @@
     let site = common::start("lost", 21700, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
-    ctl::fault(s, &Faults { lose: 1, ..Faults::default() }).await.unwrap();
+    ctl::fault(s, &Faults { lost_answers: 1, ..Faults::default() }).await.unwrap();
     let mut spec = s.profiles[0].clone();
     spec.max_flows = 33;
     assert_eq!(ctl::put(&store, &keys, &spec, rev).await.unwrap(), Outcome::Written);
--- a/tests/packet_head.rs
+++ b/tests/packet_head.rs
@@ -4,15 +4,15 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use jujubepost::flow::{Flags, Flow};
-use jujubepost::platform::packet::{self, HEAD, MAX_DATA, Malformed};
+use jujubepost::platform::packet::{self, HEADER_LEN, MAX_PAYLOAD, Malformed};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const SYN: [u8; HEAD] = [
+const SYN: [u8; HEADER_LEN] = [
     0x40, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x11, 0x22, 0x33, 0x44, 0, 0, 0, 0, 0x64, 0x40, 0x00,
     0x07, 0x01, 0xbb, 0xc6, 0x12, 0x00, 0x01, 0x9c, 0x41, 0xa1, 0xb2, 0xc3, 0xd5,
 ];
 
-const RESET: [u8; HEAD] = [
+const RESET: [u8; HEADER_LEN] = [
     0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xc6, 0x12, 0x00, 0x01, 0x9c,
     0x41, 0x64, 0x40, 0x00, 0x07, 0x01, 0xbb, 0, 0, 0, 0,
 ];
@@ -30,7 +30,7 @@
     assert!(seg.opens());
     assert_eq!(seg.by_caller(), flow());
     assert_eq!((seg.seq, seg.ack, seg.len), (0x1122_3344, 0, 0));
-    assert_eq!(packet::reset(flow(), 0), RESET);
+    assert_eq!(packet::encode_reset(flow(), 0), RESET);
     let back = packet::decode(&RESET).unwrap();
     assert_eq!(back.by_target(), flow());
     assert_eq!(back.flags, Flags { rst: true, ..Flags::default() });
@@ -48,17 +48,17 @@
 
 #[test]
 fn wrong_lengths() {
-    assert_eq!(packet::decode(&SYN[..HEAD - 1]), Err(Malformed::Short));
+    assert_eq!(packet::decode(&SYN[..HEADER_LEN - 1]), Err(Malformed::TooShort));
     let mut long = SYN.to_vec();
     long.push(0);
-    assert_eq!(packet::decode(&long), Err(Malformed::Length));
+    assert_eq!(packet::decode(&long), Err(Malformed::LengthMismatch));
     let mut most = SYN.to_vec();
-    most[6..8].copy_from_slice(&(MAX_DATA as u16).to_be_bytes());
-    most.resize(HEAD + MAX_DATA, 0);
-    assert_eq!(usize::from(packet::decode(&most).unwrap().len), MAX_DATA);
-    most[6..8].copy_from_slice(&(MAX_DATA as u16 + 1).to_be_bytes());
+    most[6..8].copy_from_slice(&(MAX_PAYLOAD as u16).to_be_bytes());
+    most.resize(HEADER_LEN + MAX_PAYLOAD, 0);
+    assert_eq!(usize::from(packet::decode(&most).unwrap().len), MAX_PAYLOAD);
+    most[6..8].copy_from_slice(&(MAX_PAYLOAD as u16 + 1).to_be_bytes());
     most.push(0);
-    assert_eq!(packet::decode(&most), Err(Malformed::Length));
+    assert_eq!(packet::decode(&most), Err(Malformed::LengthMismatch));
 }
 
 #[test]
@@ -68,7 +68,7 @@
         let mut bytes = vec![0; rng.random_range(0..1_400)];
         rng.fill(&mut bytes[..]);
         if let Ok(seg) = packet::decode(&bytes) {
-            assert_eq!(usize::from(seg.len), bytes.len() - HEAD);
+            assert_eq!(usize::from(seg.len), bytes.len() - HEADER_LEN);
         }
     }
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -14,8 +14,8 @@
 use jujubepost::relay::parts::{decode, join, split};
 use jujubepost::relay::{self, INDEX, OWN, PARTS, Relay, part_key};
 use jujubepost::steer::{Route, Routes, Share, Steer};
-use jujubepost::store::mirror::{Ask, News, Source, follow};
-use jujubepost::store::{Batch, Change, Keeper, Kv, Snapshot};
+use jujubepost::store::mirror::{MirrorEvent, PeerFallback, Source, follow};
+use jujubepost::store::{Change, Kv, Snapshot, WatchBatch, WatchStore};
 use jujubepost::trial::{Plan, Trial};
 
 const MS: Duration = Duration::from_millis(1);
@@ -40,7 +40,7 @@
 
 /// A relay at 10.1.0.`n` for configurations of 100 bytes or more.
 fn balancer(n: u8) -> Relay {
-    Relay::new(config::KEY, "gjw-a", Ipv4Addr::new(10, 1, 0, n), 100)
+    Relay::new(config::CONFIG_KEY, "gjw-a", Ipv4Addr::new(10, 1, 0, n), 100)
 }
 
 fn put(copy: &mut Snapshot, key: &str, value: Vec<u8>) {
@@ -59,7 +59,7 @@
 /// A store with a large configuration, whose version the parts do not have.
 fn large() -> Snapshot {
     let mut copy = Snapshot::default();
-    put(&mut copy, config::KEY, vec![b' '; 1_000]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 1_000]);
     copy
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn who_relays() {
     let mut copy = Snapshot::default();
-    put(&mut copy, config::KEY, vec![b' '; 99]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 99]);
     assert!(!balancer(1).wanted(&copy), "too small");
     let mut copy = large();
     let (first, second) = (balancer(1), balancer(2));
@@ -135,7 +135,7 @@
     put(&mut copy, first.key(), Vec::new());
     assert!(first.wanted(&copy) && !second.wanted(&copy));
     assert_eq!(second.scope(&copy, Some(7)), None, "until its key is gone");
-    let other = Relay::new(config::KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
+    let other = Relay::new(config::CONFIG_KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
     assert!(other.wanted(&copy), "each data centre has its own");
 }
 
@@ -143,7 +143,7 @@
 fn small_again() {
     let (mut copy, relay) = (large(), balancer(1));
     publish(&mut copy, &relay, &routes(7, 50));
-    put(&mut copy, config::KEY, vec![b' '; 10]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 10]);
     let writes = relay.due(&copy, &routes(8, 1)).unwrap().unwrap();
     assert_eq!((writes.put.len(), writes.remove.len()), (0, PARTS + 1));
     assert!(writes.remove.iter().any(|key| key == INDEX));
@@ -162,20 +162,20 @@
     Kv { key: key.into(), value: value.to_vec(), rev, lease: 0 }
 }
 
-impl Keeper for Lapsing {
+impl WatchStore for Lapsing {
     async fn list(&self, _: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Ok(if self.watched.borrow().is_empty() {
-            (99, vec![key(config::KEY, 5, b"old"), key(&self.relay, 6, b"")])
+            (99, vec![key(config::CONFIG_KEY, 5, b"old"), key(&self.relay, 6, b"")])
         } else {
-            (101, vec![key(config::KEY, 100, b"new")])
+            (101, vec![key(config::CONFIG_KEY, 100, b"new")])
         })
     }
 
-    async fn watch(&self, prefix: &str, after: i64, _: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, prefix: &str, after: i64, _: bool) -> anyhow::Result<WatchBatch> {
         self.watched.borrow_mut().push(prefix.to_string());
         if after == 99 {
             let gone = Change::Delete { key: (&*self.relay).into(), rev: 101 };
-            return Ok(Batch { rev: 101, compacted: false, changes: vec![gone] });
+            return Ok(WatchBatch { rev: 101, compacted: false, changes: vec![gone] });
         }
         std::future::pending().await
     }
@@ -189,15 +189,15 @@
         store: store.clone(),
         prefix: String::new(),
         peers: Vec::new(),
-        ask: Ask::Always,
-        gather: Duration::ZERO,
+        peer_fallback: PeerFallback::Always,
+        batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
     let listed = |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(OWN);
     let seen = RefCell::new(Vec::new());
     let run = follow(&source, listed, |news| {
-        if let News::Copy(copy) = news {
-            seen.borrow_mut().push(copy.keys[config::KEY].value.clone());
+        if let MirrorEvent::Updated(copy) = news {
+            seen.borrow_mut().push(copy.keys[config::CONFIG_KEY].value.clone());
         }
     });
     let _ = tokio::time::timeout(300 * MS, run).await;
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -9,8 +9,8 @@
 use common::wires::*;
 use jujubepost::bus::{Answer, FlowStatus};
 use jujubepost::steer::Steer;
-use jujubepost::store::mirror::{self, Ask, News, Source};
-use jujubepost::store::{Batch, Keeper, Kv};
+use jujubepost::store::mirror::{self, MirrorEvent, PeerFallback, Source};
+use jujubepost::store::{Kv, WatchBatch, WatchStore};
 use tokio::sync::Notify;
 
 const MS: Duration = Duration::from_millis(1);
@@ -91,16 +91,16 @@
 #[derive(Clone)]
 struct Quiet;
 
-impl Keeper for Quiet {
+impl WatchStore for Quiet {
     async fn list(&self, _prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Ok((1, Vec::new()))
     }
 
-    async fn watch(&self, _prefix: &str, after: i64, wait: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, _prefix: &str, after: i64, wait: bool) -> anyhow::Result<WatchBatch> {
         if wait {
             std::future::pending::<()>().await;
         }
-        Ok(Batch { rev: after, compacted: false, changes: Vec::new() })
+        Ok(WatchBatch { rev: after, compacted: false, changes: Vec::new() })
     }
 }
 
@@ -113,8 +113,8 @@
         store: Quiet,
         prefix: String::new(),
         peers: Vec::new(),
-        ask: Ask::Empty,
-        gather: Duration::ZERO,
+        peer_fallback: PeerFallback::WhenEmpty,
+        batch_delay: Duration::ZERO,
         refresh: refresh.clone(),
     };
     let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
@@ -122,7 +122,7 @@
         &source,
         |_| None,
         |news| {
-            if matches!(news, News::Back) {
+            if matches!(news, MirrorEvent::Recovered) {
                 tell.send(()).unwrap();
             }
         },
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -8,7 +8,7 @@
 
 use jujubepost::bench::{self, Load};
 use jujubepost::ctl;
-use jujubepost::store::{self, Faults, Keys};
+use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
 async fn outage_serves_on() {
@@ -26,7 +26,8 @@
     ctl::fault(&s, &Faults::default()).await.unwrap();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let (_, kvs) = store.list(&Keys::new(s.store.prefix.clone()).targets()).await.unwrap();
+    let (_, kvs) =
+        store.list(&KeyLayout::new(s.store.prefix.clone()).targets_prefix()).await.unwrap();
     assert_eq!(kvs.len(), 5, "{kvs:?}");
     let after = Load { feeds: 0, requests: 40, secs: 1, ..Load::default() };
     let rows = bench::measure(&s, &after).await;
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use jujubepost::platform::{config, kv};
-use jujubepost::store::{Faults, Keeper, Lessor};
+use jujubepost::store::{Faults, LeaseStore, WatchStore};
 use jujubepost::trial::{Hash, Plan, Report, Trial};
 use jujubepost::up::Signal;
 
@@ -173,12 +173,12 @@
         .play(async |t: &mut Trial| {
             fault(t, &Faults { outage: true, ..Faults::default() }).await;
             tokio::time::sleep(4_000 * MS).await;
-            fault(t, &Faults { forget: true, lose: 2, ..Faults::default() }).await;
+            fault(t, &Faults { clear_history: true, lost_answers: 2, ..Faults::default() }).await;
             let client = store(t).await;
-            let old = client.get(config::KEY).await?.unwrap();
+            let old = client.get(config::CONFIG_KEY).await?.unwrap();
             let newer = String::from_utf8(old.value)?.replace("\"version\":1", "\"version\":2");
             // The answer is lost; the write has taken effect.
-            let _ = client.put(config::KEY, newer.as_bytes(), 0).await;
+            let _ = client.put(config::CONFIG_KEY, newer.as_bytes(), 0).await;
             in_force(t, 2, 2).await
         })
         .await
@@ -342,7 +342,7 @@
     // Many calls one after the other on the client's connections.
     for i in 0..200 {
         client.put("y", b"1", 0).await.unwrap_or_else(|e| panic!("put {i}: {e:#}"));
-        client.has("y").await.unwrap_or_else(|e| panic!("has {i}: {e:#}"));
+        client.exists("y").await.unwrap_or_else(|e| panic!("has {i}: {e:#}"));
         client.keepalive(lease).await.unwrap_or_else(|e| panic!("keepalive {i}: {e:#}"));
     }
     children.down().await;
