--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -156,7 +156,7 @@
                 &Faults {
                     outage,
                     delay_ms,
-                    lost_answers: lose,
+                    lost_responses: lose,
                     refuse_keepalives: lapse,
                     clear_history: forget,
                 },
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -1,5 +1,5 @@
-//! The store stand-in answering the platform's calls, beside those of the
-//! product's own interface and over the same keys.
+//! The in-memory store's handlers for the platform's calls. They use the same
+//! keys as its etcd-like calls.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,31 +12,31 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store;
-use crate::store::server::{Db, Entry, ServerState, inject_faults, loses_answer};
+use crate::store::server::{Db, Entry, ServerState, inject_faults, loses_response};
 
-/// Most items of one page.
-const PAGE: usize = 500;
+/// Most items in one page of a range.
+const MAX_PAGE_ITEMS: usize = 500;
 
-/// Most entries of one transaction.
-const ENTRIES: usize = 32;
+/// Most conditions, writes and removals in one transaction.
+const MAX_TXN_ENTRIES: usize = 32;
 
-/// Serves the stand-in at `addr` until the process ends.
+/// Serves the in-memory store at `addr` until the process is told to stop.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken.
+/// Fails when the address cannot be bound.
 pub async fn serve(addr: SocketAddr) -> anyhow::Result<()> {
     store::serve(addr, routes).await
 }
 
-/// Adds the platform's calls to the stand-in.
+/// Registers the handlers.
 fn routes(cfg: &mut ServiceConfig) {
-    cfg.route("/v1/kv-key", web::get().to(key))
+    cfg.route("/v1/kv-key", web::get().to(get_key))
         .route("/v1/kv-range", web::get().to(range))
         .route("/v1/kv-watch", web::get().to(watch))
         .route("/v1/kv-txn", web::post().to(txn))
-        .route("/v1/kv-lease", web::post().to(lease))
-        .route("/v1/kv-keep/{id}", web::post().to(keep));
+        .route("/v1/kv-lease", web::post().to(grant_lease))
+        .route("/v1/kv-keep/{id}", web::post().to(renew_lease));
 }
 
 #[derive(Debug, Serialize)]
@@ -54,7 +54,7 @@
 }
 
 impl Item {
-    fn of(key: &[u8], e: &Entry) -> Self {
+    fn from_entry(key: &[u8], e: &Entry) -> Self {
         Self {
             key: String::from_utf8_lossy(key).into_owned(),
             value: Some(B64.encode(&e.value)),
@@ -80,12 +80,12 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Revision {
+struct TxnResult {
     revision: i64,
 }
 
 #[derive(Debug, Serialize)]
-struct Changed {
+struct Conflict {
     items: Vec<Item>,
 }
 
@@ -123,7 +123,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Txn {
+struct TxnRequest {
     #[serde(default)]
     expected_rev: Vec<Condition>,
     #[serde(default)]
@@ -138,52 +138,52 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Granted {
+struct LeaseGrant {
     lease: i64,
     ttl_ms: u64,
 }
 
-async fn key(st: State<ServerState>, q: Query<KeyQuery>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn get_key(state: State<ServerState>, q: Query<KeyQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.reads += 1;
     match db.kvs.get(q.key.as_bytes()) {
-        Some(e) => HttpResponse::Ok().json(&Item::of(q.key.as_bytes(), e)),
+        Some(e) => HttpResponse::Ok().json(&Item::from_entry(q.key.as_bytes(), e)),
         None => HttpResponse::NotFound().finish(),
     }
 }
 
-async fn range(st: State<ServerState>, q: Query<RangeQuery>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn range(state: State<ServerState>, q: Query<RangeQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.reads += 1;
     let mut items: Vec<Item> = db
         .kvs
         .range(q.prefix.as_bytes().to_vec()..)
         .take_while(|(k, _)| k.starts_with(q.prefix.as_bytes()))
         .filter(|(k, _)| k.as_slice() > q.after.as_bytes())
-        .take(PAGE + 1)
-        .map(|(k, e)| Item::of(k, e))
+        .take(MAX_PAGE_ITEMS + 1)
+        .map(|(k, e)| Item::from_entry(k, e))
         .collect();
-    let truncated = items.len() > PAGE;
-    items.truncate(PAGE);
+    let truncated = items.len() > MAX_PAGE_ITEMS;
+    items.truncate(MAX_PAGE_ITEMS);
     HttpResponse::Ok().json(&Page { items, truncated, as_of: db.rev })
 }
 
-/// The changes after `after`, or none when the history is forgotten.
+/// The changes that a watch asks for; `None` if the history lacks some.
 fn changes(db: &Db, q: &WatchQuery) -> Option<Vec<Item>> {
     if db.is_compacted(q.after + 1) {
         return None;
     }
-    let of = |(rev, ev): &(i64, crate::store::types::Event)| {
+    let to_item = |(rev, ev): &(i64, crate::store::types::Event)| {
         let key = B64.decode(&ev.kv.key).ok()?;
         let tombstone = ev.kind == "DELETE";
-        let shown = *rev > q.after && key.starts_with(q.prefix.as_bytes());
-        shown.then(|| Item {
+        let is_requested = *rev > q.after && key.starts_with(q.prefix.as_bytes());
+        is_requested.then(|| Item {
             key: String::from_utf8_lossy(&key).into_owned(),
             value: (!tombstone).then(|| ev.kv.value.clone()),
             revision: *rev,
@@ -192,21 +192,21 @@
             tombstone,
         })
     };
-    Some(db.history.iter().filter_map(of).collect())
+    Some(db.history.iter().filter_map(to_item).collect())
 }
 
-async fn watch(st: State<ServerState>, q: Query<WatchQuery>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn watch(state: State<ServerState>, q: Query<WatchQuery>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    st.lock().stats.watches += 1;
+    state.lock().stats.watches += 1;
     let deadline = Instant::now() + Duration::from_millis(q.wait_ms);
     loop {
-        let notified = st.notify.notified();
+        let notified = state.notify.notified();
         tokio::pin!(notified);
         notified.as_mut().enable();
         {
-            let db = st.lock();
+            let db = state.lock();
             let Some(events) = changes(&db, &q) else { return HttpResponse::Gone().finish() };
             if !events.is_empty() || Instant::now() >= deadline {
                 return HttpResponse::Ok().json(&Events { events, as_of: db.rev });
@@ -217,24 +217,25 @@
     }
 }
 
-async fn txn(st: State<ServerState>, req: Json<Txn>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn txn(state: State<ServerState>, req: Json<TxnRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
-    if req.expected_rev.len() + req.writes.len() + req.remove.len() > ENTRIES {
+    if req.expected_rev.len() + req.writes.len() + req.remove.len() > MAX_TXN_ENTRIES {
         return HttpResponse::BadRequest().body("more than 32 entries");
     }
     if req.writes.iter().any(|w| !db.has_lease(w.lease)) {
         return HttpResponse::NotFound().finish();
     }
-    let have = |c: &Condition| db.kvs.get(c.key.as_bytes()).map_or(0, |e| e.mod_rev);
-    if req.expected_rev.iter().any(|c| have(c) != c.revision) {
-        let current =
-            |c: &Condition| db.kvs.get(c.key.as_bytes()).map(|e| Item::of(c.key.as_bytes(), e));
+    let current_rev = |c: &Condition| db.kvs.get(c.key.as_bytes()).map_or(0, |e| e.mod_rev);
+    if req.expected_rev.iter().any(|c| current_rev(c) != c.revision) {
+        let current = |c: &Condition| {
+            db.kvs.get(c.key.as_bytes()).map(|e| Item::from_entry(c.key.as_bytes(), e))
+        };
         let items = req.expected_rev.iter().filter_map(current).collect();
-        return HttpResponse::PreconditionFailed().json(&Changed { items });
+        return HttpResponse::PreconditionFailed().json(&Conflict { items });
     }
     let mut writes = Vec::new();
     for w in &req.writes {
@@ -249,33 +250,33 @@
     for key in &req.remove {
         db.delete(key.as_bytes());
     }
-    st.notify.notify_waiters();
-    if loses_answer(&mut db) {
+    state.notify.notify_waiters();
+    if loses_response(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
-    HttpResponse::Ok().json(&Revision { revision: db.rev })
+    HttpResponse::Ok().json(&TxnResult { revision: db.rev })
 }
 
-async fn lease(st: State<ServerState>, req: Json<Ttl>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn grant_lease(state: State<ServerState>, req: Json<Ttl>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
     let lease = db.grant(Duration::from_millis(req.ttl_ms));
-    if loses_answer(&mut db) {
+    if loses_response(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
-    HttpResponse::Ok().json(&Granted { lease, ttl_ms: req.ttl_ms })
+    HttpResponse::Ok().json(&LeaseGrant { lease, ttl_ms: req.ttl_ms })
 }
 
-// The body is read although it says nothing: a connection closed with bytes
-// unread is reset, and the answer with it.
-async fn keep(st: State<ServerState>, id: Path<i64>, _body: Bytes) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+// The body is read although it is unused: a connection closed with unread bytes
+// is reset, which can discard the response.
+async fn renew_lease(state: State<ServerState>, id: Path<i64>, _body: Bytes) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.keepalives += 1;
     match db.renew(*id) {
         Some(ttl) => {
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -85,7 +85,7 @@
             }
             ["store", "lose", n] => {
                 let n = n.parse().context("lose")?;
-                Self::store(|f| f.lost_answers = n)
+                Self::store(|f| f.lost_responses = n)
             }
             ["store", "forget"] => Self::store(|f| f.clear_history = true),
             ["store", "lapse"] => Self::store(|f| f.refuse_keepalives = true),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,8 +1,8 @@
-//! Client of the key-value service, on `ntex`'s HTTP client.
+//! HTTP client of the key-value service.
 //!
-//! Every error names the step (the call and its key) and the peer (the
-//! service's address). A write whose answer is lost fails with an error even
-//! though it may have taken effect; callers that must know read back.
+//! Every error names the operation with its key, and the service's address. A
+//! write whose response is lost returns an error although it may have taken
+//! effect; callers that must know read the key back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,21 +21,21 @@
 };
 use super::{Change, Kv, prefix_end};
 
-/// Longest a watch call may wait, in milliseconds; above the server's wait.
+/// Time limit of a watch call; above the server's longest wait.
 const WATCH_TIMEOUT_MS: u64 = 15_000;
 
-/// What one watch call returned.
+/// Result of one watch call.
 #[derive(Clone, Debug, Default)]
 pub struct WatchBatch {
-    /// The store's revision at the answer; watch again from `rev + 1`.
+    /// The store's revision when it responded; watch again from `rev + 1`.
     pub rev: i64,
-    /// The asked revision is older than the kept history: list again.
+    /// The requested revision is older than the kept history: list again.
     pub compacted: bool,
     /// Changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// A client of one key-value service.
+/// Client of a key-value service.
 #[derive(Clone)]
 pub struct Client {
     http: ntex::client::Client,
@@ -44,8 +44,8 @@
 }
 
 impl Client {
-    /// A client of the service at `addr`, whose calls time out after
-    /// `timeout`.
+    /// Creates a client of the service at `addr`. Calls other than
+    /// [`Client::watch`] time out after `timeout`.
     pub async fn new(addr: SocketAddr, timeout: Duration) -> Self {
         let http = ntex::client::Client::new().await;
         Self { http, addr, timeout }
@@ -62,19 +62,19 @@
         path: &str,
         req: &Q,
         timeout: Duration,
-        step: &str,
+        operation: &str,
     ) -> anyhow::Result<A> {
-        tokio::time::timeout(timeout, self.answer(path, req, timeout, step))
+        tokio::time::timeout(timeout, self.post(path, req, timeout, operation))
             .await
-            .map_err(|_| anyhow::anyhow!("{step} at store {}: timeout", self.addr))?
+            .map_err(|_| anyhow::anyhow!("{operation} at store {}: timeout", self.addr))?
     }
 
-    async fn answer<Q: Serialize, A: DeserializeOwned>(
+    async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         req: &Q,
         timeout: Duration,
-        step: &str,
+        operation: &str,
     ) -> anyhow::Result<A> {
         let url = format!("http://{}{path}", self.addr);
         let res = self
@@ -83,14 +83,13 @@
             .timeout(timeout)
             .send_json(req)
             .await
-            .map_err(|e| anyhow::anyhow!("{step} at store {}: {e}", self.addr))?;
+            .map_err(|e| anyhow::anyhow!("{operation} at store {}: {e}", self.addr))?;
         if !res.status().is_success() {
-            bail!("{step} at store {}: status {}", self.addr, res.status());
+            bail!("{operation} at store {}: status {}", self.addr, res.status());
         }
-        res.json::<A>()
-            .limit(64 << 20)
-            .await
-            .map_err(|e| anyhow::anyhow!("{step} at store {}: reading answer: {e}", self.addr))
+        res.json::<A>().limit(64 << 20).await.map_err(|e| {
+            anyhow::anyhow!("{operation} at store {}: reading response: {e}", self.addr)
+        })
     }
 
     /// Reads every key that starts with `prefix`; returns them with the
@@ -102,9 +101,10 @@
     pub async fn list(&self, prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         let req =
             RangeRequest { key: B64.encode(prefix), range_end: B64.encode(prefix_end(prefix)) };
-        let step = format!("list {prefix}");
-        let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &step).await?;
-        let kvs = res.kvs.iter().map(kv).collect::<anyhow::Result<_>>().context(step)?;
+        let operation = format!("list {prefix}");
+        let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &operation).await?;
+        let kvs =
+            res.kvs.iter().map(decode_kv).collect::<anyhow::Result<_>>().context(operation)?;
         Ok((res.header.revision, kvs))
     }
 
@@ -115,21 +115,21 @@
     /// As [`Client::list`].
     pub async fn get(&self, key: &str) -> anyhow::Result<Option<Kv>> {
         let req = RangeRequest { key: B64.encode(key), range_end: String::new() };
-        let step = format!("get {key}");
-        let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &step).await?;
-        res.kvs.first().map(kv).transpose().context(step)
+        let operation = format!("get {key}");
+        let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &operation).await?;
+        res.kvs.first().map(decode_kv).transpose().context(operation)
     }
 
-    /// Writes one key, attached to `lease` (0 for none).
+    /// Writes one key under `lease` (0 for none).
     ///
     /// # Errors
     ///
-    /// As [`Client::list`]; also when the answer was lost, in which case the
-    /// write may have taken effect.
+    /// As [`Client::list`]. When the response was lost, the write may have taken
+    /// effect nevertheless.
     pub async fn put(&self, key: &str, value: &[u8], lease: i64) -> anyhow::Result<()> {
         let req = PutRequest { key: B64.encode(key), value: B64.encode(value), lease };
-        let step = format!("put {key}");
-        let _: HeaderResponse = self.call("/v3/kv/put", &req, self.timeout, &step).await?;
+        let operation = format!("put {key}");
+        let _: HeaderResponse = self.call("/v3/kv/put", &req, self.timeout, &operation).await?;
         Ok(())
     }
 
@@ -160,8 +160,8 @@
                 },
             }],
         };
-        let step = format!("swap {key} at revision {rev}");
-        let res: TxnResponse = self.call("/v3/kv/txn", &req, self.timeout, &step).await?;
+        let operation = format!("swap {key} at revision {rev}");
+        let res: TxnResponse = self.call("/v3/kv/txn", &req, self.timeout, &operation).await?;
         Ok(res.succeeded)
     }
 
@@ -172,12 +172,13 @@
     /// As [`Client::put`].
     pub async fn delete(&self, key: &str) -> anyhow::Result<()> {
         let req = DeleteRequest { key: B64.encode(key) };
-        let step = format!("delete {key}");
-        let _: HeaderResponse = self.call("/v3/kv/deleterange", &req, self.timeout, &step).await?;
+        let operation = format!("delete {key}");
+        let _: HeaderResponse =
+            self.call("/v3/kv/deleterange", &req, self.timeout, &operation).await?;
         Ok(())
     }
 
-    /// Takes a lease of `ttl` seconds; returns its identifier.
+    /// Grants a lease of `ttl` seconds; returns its identifier.
     ///
     /// # Errors
     ///
@@ -188,22 +189,21 @@
         Ok(res.id)
     }
 
-    /// Renews a lease (the heartbeat); returns its time to live in seconds,
-    /// 0 when it has lapsed.
+    /// Renews a lease; returns its time to live in seconds, 0 if it has lapsed.
     ///
     /// # Errors
     ///
     /// As [`Client::list`].
     pub async fn keepalive(&self, id: i64) -> anyhow::Result<i64> {
         let req = Lease { id, ttl: 0 };
-        let step = format!("keepalive of lease {id}");
+        let operation = format!("keepalive of lease {id}");
         let res: KeepAliveResponse =
-            self.call("/v3/lease/keepalive", &req, self.timeout, &step).await?;
+            self.call("/v3/lease/keepalive", &req, self.timeout, &operation).await?;
         Ok(res.result.ttl)
     }
 
-    /// Waits for changes under `prefix` from revision `from` on; returns
-    /// early with what happened, or empty after the service's wait.
+    /// Waits for changes under `prefix` from revision `from` on; returns none
+    /// when the service's wait ends without any.
     ///
     /// # Errors
     ///
@@ -216,13 +216,13 @@
                 start_revision: from,
             },
         };
-        let step = format!("watch {prefix} from {from}");
+        let operation = format!("watch {prefix} from {from}");
         let timeout = Duration::from_millis(WATCH_TIMEOUT_MS);
-        let res: WatchResponse = self.call("/v3/watch", &req, timeout, &step).await?;
+        let res: WatchResponse = self.call("/v3/watch", &req, timeout, &operation).await?;
         let r = res.result;
         let mut changes = Vec::with_capacity(r.events.len());
         for ev in &r.events {
-            let kv = kv(&ev.kv).with_context(|| step.clone())?;
+            let kv = decode_kv(&ev.kv).with_context(|| operation.clone())?;
             changes.push(if ev.kind == "DELETE" {
                 Change::Delete { key: kv.key, rev: kv.rev }
             } else {
@@ -233,7 +233,7 @@
     }
 }
 
-fn kv(raw: &KeyValue) -> anyhow::Result<Kv> {
+fn decode_kv(raw: &KeyValue) -> anyhow::Result<Kv> {
     let key = String::from_utf8(B64.decode(&raw.key)?)?;
     let value = B64.decode(&raw.value)?;
     Ok(Kv { key: Arc::from(key), value, rev: raw.mod_revision, lease: raw.lease })
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -1,9 +1,8 @@
-//! Holding a key under a lease: the heartbeat of agents and balancers.
+//! Keeps a key in the store under a lease: the announcement of agents and
+//! balancers, which disappears when its process dies.
 //!
-//! The key lives as long as the lease. The holder renews the lease at a third
-//! of its time to live; when a renewal says the lease has lapsed (the holder
-//! was paused, or the service lost it), the holder takes a new lease and
-//! writes the key again. A new value is written under the same lease.
+//! The lease is renewed at a third of its time to live. When it has lapsed or
+//! the key is gone, a new lease is granted and the key written again.
 
 use std::time::Duration;
 
@@ -14,12 +13,13 @@
 use crate::events;
 use crate::metrics::{self, Retry};
 
-/// Longest pause after a failed call: an entry that lapsed while the service
-/// was away is to be back about two seconds after its return.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause before a failed call is retried. It bounds how long after an
+/// outage a lapsed key stays missing.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Holds `key` under a lease of `lease_ms`, with the latest of `value`,
-/// forever. Looks whether it is still there when `check` says so.
+/// Keeps `key` set to the latest `value` under a lease of `lease_ms` (at least
+/// 1 s); never returns. On a notification of `check` it verifies that the key
+/// still exists.
 pub async fn maintain<L: LeaseStore>(
     store: &L,
     key: &str,
@@ -28,20 +28,22 @@
     check: &Notify,
 ) {
     let ttl = Duration::from_millis(lease_ms.max(1_000));
-    let beat = Duration::from_millis((lease_ms / 3).max(100));
+    let renew_interval = Duration::from_millis((lease_ms / 3).max(100));
     loop {
         let latest = value.borrow_and_update().clone();
-        match take(store, key, &latest, ttl).await {
-            Ok(lease) => renew(store, key, lease, &mut value, beat, check).await,
+        match acquire(store, key, &latest, ttl).await {
+            Ok(lease) => {
+                renew_until_lapsed(store, key, lease, &mut value, renew_interval, check).await
+            }
             Err(e) => {
-                failed(&e);
-                tokio::time::sleep(PAUSE.min(beat)).await;
+                record_failure(&e);
+                tokio::time::sleep(MAX_RETRY_PAUSE.min(renew_interval)).await;
             }
         }
     }
 }
 
-async fn take<L: LeaseStore>(
+async fn acquire<L: LeaseStore>(
     store: &L,
     key: &str,
     value: &[u8],
@@ -52,45 +54,52 @@
     Ok(lease)
 }
 
-/// Renews `lease` until it has lapsed.
-async fn renew<L: LeaseStore>(
+/// Renews `lease` and writes new values; returns when the lease has lapsed, the
+/// key is gone, or a write failed.
+async fn renew_until_lapsed<L: LeaseStore>(
     store: &L,
     key: &str,
     lease: i64,
     value: &mut watch::Receiver<Vec<u8>>,
-    beat: Duration,
+    renew_interval: Duration,
     check: &Notify,
 ) {
-    // An instant, so that checks and new values do not postpone the renewal.
-    let mut due = Instant::now() + beat;
+    // A fixed instant, so that checks and new values do not postpone the renewal.
+    let mut renew_at = Instant::now() + renew_interval;
     loop {
         tokio::select! {
             () = check.notified() => match store.exists(key).await {
                 Ok(true) => {}
                 Ok(false) => {
-                    log::warn!(event = events::AGENT_LAPSED, key = key, lease = lease; "entry gone");
+                    log::warn!(
+                        event = events::AGENT_LAPSED, key = key, lease = lease;
+                        "key is gone; acquiring a new lease for it"
+                    );
                     metrics::retried(Retry::LeaseLapsed);
                     return;
                 }
-                Err(e) => failed(&e),
+                Err(e) => record_failure(&e),
             },
-            () = tokio::time::sleep_until(due) => match store.keepalive(lease).await {
-                Ok(true) => due = Instant::now() + beat,
+            () = tokio::time::sleep_until(renew_at) => match store.keepalive(lease).await {
+                Ok(true) => renew_at = Instant::now() + renew_interval,
                 Ok(false) => {
-                    log::warn!(event = events::AGENT_LAPSED, key = key, lease = lease; "lease lapsed");
+                    log::warn!(
+                        event = events::AGENT_LAPSED, key = key, lease = lease;
+                        "lease lapsed; acquiring a new one"
+                    );
                     metrics::retried(Retry::LeaseLapsed);
                     return;
                 }
                 Err(e) => {
-                    failed(&e);
-                    due = Instant::now() + PAUSE.min(beat);
+                    record_failure(&e);
+                    renew_at = Instant::now() + MAX_RETRY_PAUSE.min(renew_interval);
                 }
             },
             Ok(()) = value.changed() => {
                 let latest = value.borrow_and_update().clone();
                 if let Err(e) = store.put(key, &latest, lease).await {
-                    // The lease may have lapsed; a new one is taken.
-                    failed(&e);
+                    // The lease may have lapsed; the caller acquires a new one.
+                    record_failure(&e);
                     return;
                 }
             }
@@ -98,7 +107,7 @@
     }
 }
 
-fn failed(e: &anyhow::Error) {
+fn record_failure(e: &anyhow::Error) {
     log::warn!(event = events::AGENT_STORE, error:% = format!("{e:#}"); "store call failed");
     metrics::retried(Retry::StoreError);
 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,10 +1,9 @@
 //! A local copy of every key under a prefix, kept current by a watch.
 //!
-//! The copy survives outages of the service: while calls fail it keeps what
-//! it last saw, retries with a pause, and lists again when the watch has
-//! fallen behind the kept history. It never goes back to an older revision. A
-//! process that starts while the service is down takes the newest copy that
-//! its peers hold.
+//! While the service fails, the copy keeps its last contents and calls are
+//! retried; a watch that fell behind the kept history is replaced by a new
+//! listing. The revision never decreases. A process that starts during an
+//! outage takes the newest copy among its peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,23 +18,23 @@
 use crate::admin::Peer;
 use crate::metrics::{self, Retry};
 
-/// Pause after a failed call by a process that has a copy to go by.
-const PAUSE: Duration = Duration::from_millis(400);
+/// Pause before a failed call is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Pause after a failed call by a process that has none and so can serve
-/// nothing: each call that fails costs the service little.
-const EMPTY_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before a failed call is retried while there is no copy yet: shorter,
+/// as the process cannot serve anything until then.
+const EMPTY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a peer may take to hand over its copy.
+/// Time limit on fetching the copy of a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keys under one prefix, as last seen.
+/// Keys with their values and revisions.
 pub type KeyMap = BTreeMap<Arc<str>, Kv>;
 
-/// A copy with the store's revision that it reflects; 0 for none yet.
+/// The keys under a prefix at a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The store's revision.
+    /// The store's revision; 0 before the first listing.
     pub rev: i64,
     /// The keys at that revision.
     pub keys: KeyMap,
@@ -53,7 +52,7 @@
         Ok(Self { rev, keys })
     }
 
-    /// Applies changes seen by a watch up to revision `rev`.
+    /// Applies the changes that a watch returned up to revision `rev`.
     pub fn apply(&mut self, rev: i64, changes: Vec<Change>) {
         for change in changes {
             match change {
@@ -70,15 +69,14 @@
         self.rev = self.rev.max(rev);
     }
 
-    /// Whether what is known of `key` is not newer than `rev`. A listing that
-    /// came in several pages may hold a key newer than the revision from which
-    /// it is watched; what the watch then repeats must not bring back an older
-    /// value.
+    /// Whether a change of `key` at `rev` is at least as new as its entry. The
+    /// pages of a listing may be newer than the revision from which it is
+    /// watched; the watch then repeats older changes, which must not be applied.
     fn accepts(&self, key: &str, rev: i64) -> bool {
         self.keys.get(key).is_none_or(|kv| kv.rev <= rev)
     }
 
-    /// Takes `other` if it is newer; says whether it did.
+    /// Replaces the copy by `other` if that is newer; returns whether it was.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let newer = other.rev > self.rev;
         if newer {
@@ -87,8 +85,8 @@
         newer
     }
 
-    /// A stamp of the keys under `prefix`, the same wherever the same keys are
-    /// at the same revisions.
+    /// Hash of the keys under `prefix` and their revisions, for comparing the
+    /// copies of two processes.
     #[must_use]
     pub fn fingerprint(&self, prefix: &str) -> u64 {
         let mut hash = Xxh3::new();
@@ -99,7 +97,7 @@
         hash.digest()
     }
 
-    /// Only the keys under `prefix`.
+    /// A copy of just the keys under `prefix`.
     #[must_use]
     pub fn with_prefix(&self, prefix: &str) -> Self {
         let keys = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
@@ -107,171 +105,181 @@
     }
 }
 
-/// Where a mirror gets its copy from.
+/// What a mirror copies, and from where.
 #[derive(Clone)]
 pub struct Source<K> {
     /// The key-value service.
     pub store: K,
-    /// The prefix to copy.
+    /// Prefix of the copied keys.
     pub prefix: String,
-    /// Processes that hold a copy of at least this prefix.
+    /// Processes whose own copies include this prefix.
     pub peers: Vec<SocketAddr>,
-    /// When they are asked.
+    /// When the peers are asked for their copies.
     pub peer_fallback: PeerFallback,
-    /// Pause after a change before the next is asked for: changes that come
-    /// together (many agents start at once) cost one call instead of many.
+    /// Pause after a change before the next watch call. A longer pause delays
+    /// changes but returns more of them per call, as when many agents start.
     pub batch_delay: Duration,
-    /// Has the service read again at once: after a pause of the process, an answer on its
-    /// way may be old.
+    /// Restarts the call in progress when notified: after the process was
+    /// suspended, its response may be outdated.
     pub refresh: Arc<Notify>,
 }
 
-/// When a mirror whose service fails asks its peers.
+/// When a mirror asks its peers for their copies after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFallback {
-    /// While it has no copy. Where a missing announcement counts as a dead
-    /// process, a peer's newer copy may carry a lapse of leases that this
-    /// process was spared, and a process that starts next would believe it.
+    /// Only while it has no copy. For users that take a missing announcement
+    /// for a dead process: a peer's newer copy may lack announcements whose
+    /// leases lapsed in the outage.
     WhenEmpty,
-    /// At each failure, where processes are judged by their own answers.
+    /// After every failure. For users that probe processes themselves.
     Always,
 }
 
-/// What a mirror tells its owner.
+/// What a mirror reports to its caller.
 #[derive(Debug)]
 pub enum MirrorEvent<'a> {
     /// The copy changed.
     Updated(&'a Snapshot),
-    /// A call to the service failed; it is made again after a pause.
+    /// A call to the service failed and is retried after a pause.
     StoreFailed(&'a anyhow::Error),
-    /// The service answers, for the first time, after a failure or after
+    /// The service responded for the first time since the start, a failure or
     /// [`Source::refresh`].
     Recovered,
 }
 
-/// Keeps a copy current and calls `tell` with what happens, forever.
+/// Keeps a copy current and calls `on_event` for each [`MirrorEvent`]; never
+/// returns.
 ///
-/// `scope` may name a narrower prefix that is enough to watch, as long as it
-/// says so of the present copy. Once it no longer does, everything is listed
-/// again: changes outside that prefix were not seen.
-pub async fn follow<K, S, F>(source: &Source<K>, scope: S, mut tell: F)
+/// `scope` may return a narrower prefix that is enough to watch for the given
+/// copy. When it returns `None` again, everything is listed anew, as changes
+/// outside the narrower prefix were missed.
+pub async fn follow<K, S, F>(source: &Source<K>, scope: S, mut on_event: F)
 where
     K: WatchStore,
     S: Fn(&Snapshot) -> Option<&'static str>,
     F: FnMut(MirrorEvent<'_>),
 {
-    let mut copy = Snapshot::default();
-    let mut narrow = None;
-    let mut list = true;
-    let mut lost = true;
+    let mut snapshot = Snapshot::default();
+    let mut narrow_prefix = None;
+    let mut needs_list = true;
+    let mut recovering = true;
     loop {
-        let before = std::mem::replace(&mut narrow, scope(&copy));
-        list |= before.is_some() && narrow.is_none();
-        let step = tokio::select! {
+        let previous = std::mem::replace(&mut narrow_prefix, scope(&snapshot));
+        needs_list |= previous.is_some() && narrow_prefix.is_none();
+        let outcome = tokio::select! {
             biased;
             () = source.refresh.notified() => {
-                lost = true;
+                recovering = true;
                 continue;
             }
-            step = read(source, list, narrow, &mut copy, !lost) => step,
+            outcome = read(source, needs_list, narrow_prefix, &mut snapshot, !recovering) => outcome,
         };
-        if step.is_ok() && lost {
-            lost = false;
-            tell(MirrorEvent::Recovered);
+        if outcome.is_ok() && recovering {
+            recovering = false;
+            on_event(MirrorEvent::Recovered);
         }
-        match step {
-            Ok(Step::Same) => list = false,
-            Ok(Step::Changed) => {
-                list = false;
-                tell(MirrorEvent::Updated(&copy));
+        match outcome {
+            Ok(ReadOutcome::Unchanged) => needs_list = false,
+            Ok(ReadOutcome::Changed) => {
+                needs_list = false;
+                on_event(MirrorEvent::Updated(&snapshot));
                 if !source.batch_delay.is_zero() {
                     tokio::time::sleep(source.batch_delay).await;
                 }
             }
-            Ok(Step::Compacted) => {
+            Ok(ReadOutcome::Compacted) => {
                 metrics::retried(Retry::WatchCompacted);
-                list = true;
+                needs_list = true;
             }
             Err(e) => {
-                tell(MirrorEvent::StoreFailed(&e));
+                on_event(MirrorEvent::StoreFailed(&e));
                 metrics::retried(Retry::StoreError);
-                lost = true;
-                let ask = source.peer_fallback == PeerFallback::Always || copy.rev == 0;
-                if ask && from_peers(source, &mut copy).await {
-                    tell(MirrorEvent::Updated(&copy));
+                recovering = true;
+                let ask_peers = source.peer_fallback == PeerFallback::Always || snapshot.rev == 0;
+                if ask_peers && update_from_peers(source, &mut snapshot).await {
+                    on_event(MirrorEvent::Updated(&snapshot));
                 }
-                tokio::time::sleep(if copy.rev == 0 { EMPTY_PAUSE } else { PAUSE }).await;
+                tokio::time::sleep(if snapshot.rev == 0 { EMPTY_RETRY_PAUSE } else { RETRY_PAUSE })
+                    .await;
             }
         }
     }
 }
 
-/// What one call to the store did to the copy.
-enum Step {
-    Same,
+/// Effect of one call to the store on the copy.
+enum ReadOutcome {
+    Unchanged,
     Changed,
     Compacted,
 }
 
 async fn read<K: WatchStore>(
     source: &Source<K>,
-    list: bool,
-    narrow: Option<&str>,
-    copy: &mut Snapshot,
+    needs_list: bool,
+    narrow_prefix: Option<&str>,
+    snapshot: &mut Snapshot,
     wait: bool,
-) -> anyhow::Result<Step> {
-    if list { relist(source, copy).await } else { watch(source, narrow, copy, wait).await }
+) -> anyhow::Result<ReadOutcome> {
+    if needs_list {
+        relist(source, snapshot).await
+    } else {
+        watch(source, narrow_prefix, snapshot, wait).await
+    }
 }
 
-async fn relist<K: WatchStore>(source: &Source<K>, copy: &mut Snapshot) -> anyhow::Result<Step> {
+async fn relist<K: WatchStore>(
+    source: &Source<K>,
+    snapshot: &mut Snapshot,
+) -> anyhow::Result<ReadOutcome> {
     let listed = Snapshot::list(&source.store, &source.prefix).await?;
-    if listed.rev < copy.rev {
+    if listed.rev < snapshot.rev {
         let (rev, prefix) = (listed.rev, &source.prefix);
-        anyhow::bail!("list {prefix}: revision {rev} is older than {}", copy.rev);
+        anyhow::bail!("list {prefix}: revision {rev} is older than the copy's {}", snapshot.rev);
     }
-    // The same revision may show other keys than a copy that was kept current
-    // by a narrower watch.
-    let changed = copy.rev == 0 || listed != *copy;
-    *copy = listed;
-    Ok(if changed { Step::Changed } else { Step::Same })
+    // A copy kept by a narrower watch may lack keys even at the same revision.
+    let changed = snapshot.rev == 0 || listed != *snapshot;
+    *snapshot = listed;
+    Ok(if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged })
 }
 
 async fn watch<K: WatchStore>(
     source: &Source<K>,
-    narrow: Option<&str>,
-    copy: &mut Snapshot,
+    narrow_prefix: Option<&str>,
+    snapshot: &mut Snapshot,
     wait: bool,
-) -> anyhow::Result<Step> {
-    let prefix = narrow.unwrap_or(&source.prefix);
-    let batch = source.store.watch(prefix, copy.rev, wait).await?;
+) -> anyhow::Result<ReadOutcome> {
+    let prefix = narrow_prefix.unwrap_or(&source.prefix);
+    let batch = source.store.watch(prefix, snapshot.rev, wait).await?;
     if batch.compacted {
-        return Ok(Step::Compacted);
+        return Ok(ReadOutcome::Compacted);
     }
     let changed = !batch.changes.is_empty();
-    copy.apply(batch.rev, batch.changes);
-    Ok(if changed { Step::Changed } else { Step::Same })
+    snapshot.apply(batch.rev, batch.changes);
+    Ok(if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged })
 }
 
-/// Takes the newest copy that a peer holds; says whether there was one. The
-/// peers are asked at the same time: the store may be back before silent ones
-/// have been waited for in turn.
-async fn from_peers<K>(source: &Source<K>, copy: &mut Snapshot) -> bool {
-    let asked = source.peers.iter().map(|addr| peer_copy(*addr));
-    let copies = futures_util::future::join_all(asked).await;
-    let mut found = false;
-    for theirs in copies.into_iter().flatten() {
-        found |= copy.replace_if_newer(theirs.with_prefix(&source.prefix));
+/// Replaces the copy by the newest one among the peers; returns whether any was
+/// newer. All peers are asked at once, so that silent ones add no delay.
+async fn update_from_peers<K>(source: &Source<K>, snapshot: &mut Snapshot) -> bool {
+    let fetches = source.peers.iter().map(|addr| fetch_peer_snapshot(*addr));
+    let snapshots = futures_util::future::join_all(fetches).await;
+    let mut updated = false;
+    for peer_snapshot in snapshots.into_iter().flatten() {
+        updated |= snapshot.replace_if_newer(peer_snapshot.with_prefix(&source.prefix));
     }
-    found
+    updated
 }
 
-async fn peer_copy(addr: SocketAddr) -> Option<Arc<Snapshot>> {
+async fn fetch_peer_snapshot(addr: SocketAddr) -> Option<Arc<Snapshot>> {
     match Peer::connect(addr, PEER_TIMEOUT).await {
         Ok(peer) => peer.copy().await,
         Err(e) => Err(e),
     }
-    .inspect_err(
-        |e| log::debug!(event = crate::events::PEER_SILENT, error:% = format!("{e:#}"); "no copy"),
-    )
+    .inspect_err(|e| {
+        log::debug!(
+            event = crate::events::PEER_SILENT, error:% = format!("{e:#}");
+            "fetching a copy from a peer failed"
+        );
+    })
     .ok()
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,10 +1,9 @@
-//! The platform's key-value service: a stand-in server and the client that
-//! every role uses.
+//! The key-value service that processes share: client, leases, mirrored
+//! copies, and an in-memory server for tests and trials.
 //!
 //! The protocol is a subset of etcd v3's HTTP/JSON gateway (see [`types`]):
-//! get, put, compare-and-swap on a key's revision, leases with a time to live,
-//! and watches from a revision. The stand-in can be told to fail (see
-//! [`Faults`]).
+//! reads, writes, compare-and-swap on a key's revision, leases and watches from
+//! a revision. The server can inject failures (see [`Faults`]).
 
 pub mod client;
 pub mod lease;
@@ -22,7 +21,7 @@
 pub use server::{Faults, serve};
 pub use traits::{LeaseStore, WatchStore};
 
-/// A key and its value as the rest of the crate sees them.
+/// A key with its value, decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kv {
     /// The key.
@@ -35,7 +34,7 @@
     pub lease: i64,
 }
 
-/// One change seen by a watch.
+/// One change returned by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The key was written.
@@ -49,11 +48,11 @@
     },
 }
 
-/// The layout of jujubepost's keys under the prefix.
+/// Names of the keys in the store.
 ///
-/// `config/` holds what operators order (profiles, drains) and `live/` what
-/// processes announce under leases. Agents follow `config/` only, so the
-/// announcements of a large fleet do not reach them.
+/// Operators write under `config/`; processes announce themselves under
+/// `live/`, with leases. Agents watch only `config/`, so the announcements of a
+/// large fleet do not reach them.
 #[derive(Clone, Debug)]
 pub struct KeyLayout {
     prefix: Arc<str>,
@@ -66,43 +65,43 @@
         Self { prefix }
     }
 
-    /// Everything jujubepost keeps.
+    /// Prefix of all keys.
     #[must_use]
     pub fn root_prefix(&self) -> String {
         format!("{}/", self.prefix)
     }
 
-    /// What operators order.
+    /// Prefix of the keys that operators write.
     #[must_use]
     pub fn config_prefix(&self) -> String {
         format!("{}/config/", self.prefix)
     }
 
-    /// Every target's announcement.
+    /// Prefix of the targets' announcements.
     #[must_use]
     pub fn targets_prefix(&self) -> String {
         format!("{}/live/targets/", self.prefix)
     }
 
-    /// A profile, written by operators.
+    /// Key of a profile, written by operators.
     #[must_use]
     pub fn profile(&self, name: &str) -> String {
         format!("{}/config/profiles/{name}", self.prefix)
     }
 
-    /// A target's announcement, written by its agent under a lease.
+    /// Key of a target's announcement, written by its agent under a lease.
     #[must_use]
     pub fn target(&self, name: &str) -> String {
         format!("{}{name}", self.targets_prefix())
     }
 
-    /// A drain order for a target, written by operators.
+    /// Key of a target's drain order, written by operators.
     #[must_use]
     pub fn drain_order(&self, name: &str) -> String {
         format!("{}/config/drain/{name}", self.prefix)
     }
 
-    /// A balancer's announcement, under a lease.
+    /// Key of a balancer's announcement, written under a lease.
     #[must_use]
     pub fn balancer(&self, name: &str) -> String {
         format!("{}/live/balancers/{name}", self.prefix)
@@ -117,8 +116,7 @@
     }
 }
 
-/// The key one past every key that starts with `prefix`, as etcd's
-/// `range_end` for a prefix.
+/// The first key after all keys that start with `prefix`: etcd's `range_end`.
 #[must_use]
 pub fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
--- a/src/store/server/calls.rs
+++ b/src/store/server/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the product's own interface, etcd-like.
+//! Handlers of the etcd-like calls.
 
 use std::time::{Duration, Instant};
 
@@ -7,16 +7,16 @@
 use ntex::web::types::{Json, State};
 use ntex::web::{self, HttpResponse, ServiceConfig};
 
-use super::{Db, ServerState, inject_faults, loses_answer};
+use super::{Db, ServerState, inject_faults, loses_response};
 use crate::store::types::{
     DeleteRequest, Event, HeaderResponse, KeepAliveResponse, Lease, PutRequest, RangeRequest,
     RangeResponse, TxnRequest, TxnResponse, WatchRequest, WatchResponse, WatchResult,
 };
 
-/// Longest time a watch waits for a change before it answers empty.
+/// How long a watch waits for a change before it returns none.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 
-/// Adds the calls to the stand-in.
+/// Registers the handlers.
 pub(super) fn routes(cfg: &mut ServiceConfig) {
     cfg.route("/v3/kv/range", web::post().to(range))
         .route("/v3/kv/put", web::post().to(put))
@@ -35,15 +35,15 @@
     if end.is_empty() { key == start } else { key >= start && key < end }
 }
 
-async fn range(st: State<ServerState>, req: Json<RangeRequest>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn range(state: State<ServerState>, req: Json<RangeRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
     let (start, end) = match (decode(&req.key), decode(&req.range_end)) {
         (Ok(s), Ok(e)) => (s, e),
         (Err(r), _) | (_, Err(r)) => return r,
     };
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.reads += 1;
     let kvs = if end.is_empty() {
         db.kvs.get(&start).map(|e| Db::to_key_value(&start, e)).into_iter().collect()
@@ -53,42 +53,42 @@
     HttpResponse::Ok().json(&RangeResponse { header: db.header(), kvs })
 }
 
-async fn put(st: State<ServerState>, req: Json<PutRequest>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn put(state: State<ServerState>, req: Json<PutRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
     let (key, value) = match (decode(&req.key), decode(&req.value)) {
         (Ok(k), Ok(v)) => (k, v),
         (Err(r), _) | (_, Err(r)) => return r,
     };
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
     if !db.has_lease(req.lease) {
         return HttpResponse::NotFound().body("store: lease not found");
     }
     db.put(key, value, req.lease);
-    st.notify.notify_waiters();
-    if loses_answer(&mut db) {
+    state.notify.notify_waiters();
+    if loses_response(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&HeaderResponse { header: db.header() })
 }
 
-async fn txn(st: State<ServerState>, req: Json<TxnRequest>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn txn(state: State<ServerState>, req: Json<TxnRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
-    let mut ok = true;
+    let mut matches = true;
     for c in &req.compare {
         let Ok(key) = decode(&c.key) else {
             return HttpResponse::BadRequest().body("base64");
         };
-        let have = db.kvs.get(&key).map_or(0, |e| e.mod_rev);
-        ok &= have == c.mod_revision;
+        let current = db.kvs.get(&key).map_or(0, |e| e.mod_rev);
+        matches &= current == c.mod_revision;
     }
-    if ok {
+    if matches {
         for op in &req.success {
             let (Ok(key), Ok(value)) = (decode(&op.request_put.key), decode(&op.request_put.value))
             else {
@@ -96,58 +96,58 @@
             };
             db.put(key, value, op.request_put.lease);
         }
-        st.notify.notify_waiters();
-        if loses_answer(&mut db) {
+        state.notify.notify_waiters();
+        if loses_response(&mut db) {
             return HttpResponse::GatewayTimeout().finish();
         }
     }
-    HttpResponse::Ok().json(&TxnResponse { header: db.header(), succeeded: ok })
+    HttpResponse::Ok().json(&TxnResponse { header: db.header(), succeeded: matches })
 }
 
-async fn delete(st: State<ServerState>, req: Json<DeleteRequest>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn delete(state: State<ServerState>, req: Json<DeleteRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
     let Ok(key) = decode(&req.key) else {
         return HttpResponse::BadRequest().body("base64");
     };
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
     if db.delete(&key) {
-        st.notify.notify_waiters();
+        state.notify.notify_waiters();
     }
-    if loses_answer(&mut db) {
+    if loses_response(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&HeaderResponse { header: db.header() })
 }
 
-async fn grant(st: State<ServerState>, req: Json<Lease>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn grant(state: State<ServerState>, req: Json<Lease>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.writes += 1;
     let ttl = req.ttl.max(1);
     let id = db.grant(Duration::from_secs(ttl as u64));
-    if loses_answer(&mut db) {
+    if loses_response(&mut db) {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&Lease { id, ttl })
 }
 
-async fn keepalive(st: State<ServerState>, req: Json<Lease>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn keepalive(state: State<ServerState>, req: Json<Lease>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
-    let mut db = st.lock();
+    let mut db = state.lock();
     db.stats.keepalives += 1;
     let ttl = db.renew(req.id).map_or(0, |ttl| ttl.as_secs() as i64);
     HttpResponse::Ok().json(&KeepAliveResponse { result: Lease { id: req.id, ttl } })
 }
 
-async fn watch(st: State<ServerState>, req: Json<WatchRequest>) -> HttpResponse {
-    if let Err(r) = inject_faults(&st).await {
+async fn watch(state: State<ServerState>, req: Json<WatchRequest>) -> HttpResponse {
+    if let Err(r) = inject_faults(&state).await {
         return r;
     }
     let c = &req.create_request;
@@ -155,14 +155,14 @@
         (Ok(s), Ok(e)) => (s, e),
         (Err(r), _) | (_, Err(r)) => return r,
     };
-    st.lock().stats.watches += 1;
+    state.lock().stats.watches += 1;
     let deadline = Instant::now() + WATCH_WAIT;
     loop {
-        let notified = st.notify.notified();
+        let notified = state.notify.notified();
         tokio::pin!(notified);
         notified.as_mut().enable();
         {
-            let db = st.lock();
+            let db = state.lock();
             if db.is_compacted(c.start_revision) {
                 let oldest = db.history.first().map_or(db.rev + 1, |(r, _)| *r);
                 let result = WatchResult {
--- a/src/store/server/db.rs
+++ b/src/store/server/db.rs
@@ -1,4 +1,4 @@
-//! What the stand-in holds: keys, leases and the history of changes.
+//! State of the in-memory server: keys, leases and the history of changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -9,45 +9,45 @@
 
 use crate::store::types::{Event, Header, KeyValue};
 
-/// Changes kept for watches that start in the past.
-const HISTORY: usize = 50_000;
+/// Changes kept for watches that start at an older revision.
+const MAX_HISTORY: usize = 50_000;
 
-/// Failures the stand-in can be told to show.
+/// Failures that the server injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call fails with 503 while set.
+    /// Fails every call with status 503.
     pub outage: bool,
-    /// Every call is answered this many milliseconds late.
+    /// Delays every response by this many milliseconds.
     pub delay_ms: u64,
-    /// The next this many writes take effect but their answer is lost (504).
+    /// Number of coming writes that take effect but return 504.
     #[serde(rename = "lose")]
-    pub lost_answers: u32,
-    /// Keepalives are refused, so leases lapse while their holders run on.
+    pub lost_responses: u32,
+    /// Refuses keepalives, so that leases lapse while their holders run.
     #[serde(rename = "lapse")]
     pub refuse_keepalives: bool,
-    /// The history kept for watches is forgotten at once.
+    /// Clears the history kept for watches, once.
     #[serde(rename = "forget")]
     pub clear_history: bool,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads (range).
+    /// Reads of keys and ranges.
     pub reads: u64,
-    /// Writes (put, txn, delete, lease grant).
+    /// Puts, transactions, deletes and lease grants.
     pub writes: u64,
     /// Lease keepalives.
     pub keepalives: u64,
-    /// Watch calls, each waiting watch counted once.
+    /// Watch calls.
     pub watches: u64,
 }
 
-/// One key's value.
+/// A stored value.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The value.
+    /// Its bytes.
     pub value: Vec<u8>,
     /// Revision of its creation.
     pub create_rev: i64,
@@ -57,7 +57,7 @@
     pub lease: i64,
 }
 
-/// One lease.
+/// A granted lease.
 #[derive(Debug)]
 pub(crate) struct LeaseState {
     ttl: Duration,
@@ -65,30 +65,30 @@
     keys: HashSet<Vec<u8>>,
 }
 
-/// What the stand-in holds, whichever protocol asks for it.
+/// Keys and leases, shared by the handlers of both protocols.
 #[derive(Debug, Default)]
 pub(crate) struct Db {
-    /// Its revision.
+    /// Revision of the last change.
     pub rev: i64,
-    /// Its keys.
+    /// Entries by key.
     pub kvs: BTreeMap<Vec<u8>, Entry>,
     leases: HashMap<i64, LeaseState>,
     /// Changes by revision, oldest first.
     pub history: Vec<(i64, Event)>,
     next_lease: i64,
-    /// The faults that it shows.
+    /// Injected faults.
     pub faults: Faults,
-    /// Calls counted.
+    /// Calls so far.
     pub stats: Stats,
 }
 
 impl Db {
-    /// Head of an answer.
+    /// Header of a response.
     pub fn header(&self) -> Header {
         Header { revision: self.rev }
     }
 
-    /// A key as it is answered.
+    /// Encodes an entry for a response.
     pub fn to_key_value(key: &[u8], e: &Entry) -> KeyValue {
         KeyValue {
             key: B64.encode(key),
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Writes a key.
+    /// Writes a key under `lease` (0 for none).
     pub fn put(&mut self, key: Vec<u8>, value: Vec<u8>, lease: i64) {
         self.rev += 1;
-        let create = self.kvs.get(&key).map_or(self.rev, |e| e.create_rev);
+        let create_rev = self.kvs.get(&key).map_or(self.rev, |e| e.create_rev);
         if let Some(old) = self.kvs.get(&key)
             && old.lease != 0
             && old.lease != lease
@@ -113,13 +113,13 @@
         if let Some(l) = self.leases.get_mut(&lease) {
             l.keys.insert(key.clone());
         }
-        let e = Entry { value, create_rev: create, mod_rev: self.rev, lease };
+        let e = Entry { value, create_rev, mod_rev: self.rev, lease };
         let ev = Event { kind: "PUT".into(), kv: Self::to_key_value(&key, &e) };
         self.kvs.insert(key, e);
-        self.record(ev);
+        self.append_history(ev);
     }
 
-    /// Removes a key; says whether it was there.
+    /// Removes a key; returns whether it existed.
     pub fn delete(&mut self, key: &[u8]) -> bool {
         let Some(e) = self.kvs.remove(key) else {
             return false;
@@ -129,11 +129,11 @@
         }
         self.rev += 1;
         let kv = KeyValue { key: B64.encode(key), mod_revision: self.rev, ..KeyValue::default() };
-        self.record(Event { kind: "DELETE".into(), kv });
+        self.append_history(Event { kind: "DELETE".into(), kv });
         true
     }
 
-    /// Takes a lease; returns its identifier.
+    /// Grants a lease; returns its identifier.
     pub fn grant(&mut self, ttl: Duration) -> i64 {
         self.next_lease += 1;
         let state = LeaseState { ttl, deadline: Instant::now() + ttl, keys: HashSet::new() };
@@ -141,12 +141,12 @@
         self.next_lease
     }
 
-    /// Whether the lease stands.
+    /// Whether the lease is granted and has not lapsed; true for 0, no lease.
     pub fn has_lease(&self, lease: i64) -> bool {
         lease == 0 || self.leases.contains_key(&lease)
     }
 
-    /// Renews a lease; its time to live, or none when it has ended.
+    /// Renews a lease; returns its time to live, or `None` if it has lapsed.
     pub fn renew(&mut self, lease: i64) -> Option<Duration> {
         if self.faults.refuse_keepalives {
             return None;
@@ -156,21 +156,22 @@
         Some(l.ttl)
     }
 
-    /// Whether changes since revision `start` are no longer all known.
+    /// Whether the history lacks changes from revision `start` on.
     pub fn is_compacted(&self, start: i64) -> bool {
         let oldest = self.history.first().map_or(self.rev + 1, |(r, _)| *r);
         start < oldest && start <= self.rev && self.rev > 0
     }
 
-    fn record(&mut self, ev: Event) {
+    fn append_history(&mut self, ev: Event) {
         self.history.push((self.rev, ev));
-        if self.history.len() > HISTORY {
-            let cut = self.history.len() - HISTORY;
-            self.history.drain(..cut);
+        if self.history.len() > MAX_HISTORY {
+            let excess = self.history.len() - MAX_HISTORY;
+            self.history.drain(..excess);
         }
     }
 
-    /// Ends the leases whose time is over; says whether there were any.
+    /// Removes leases past their deadline with their keys; returns whether there
+    /// were any.
     pub fn drop_lapsed_leases(&mut self, now: Instant) -> bool {
         let lapsed: Vec<i64> =
             self.leases.iter().filter(|(_, l)| l.deadline <= now).map(|(&id, _)| id).collect();
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -1,8 +1,7 @@
-//! The key-value service stand-in, served over HTTP with `ntex`.
+//! In-memory key-value server over HTTP, for tests and trials.
 //!
-//! Besides the etcd-like calls it takes `POST /fault` with a [`Faults`] body
-//! (outage, slowness, answers lost after the write took effect) and answers
-//! `GET /stats` with the calls counted so far, a waiting watch as one.
+//! Besides the etcd-like calls, `POST /fault` with a [`Faults`] body injects
+//! failures and `GET /stats` returns the calls counted so far.
 
 mod calls;
 mod db;
@@ -20,33 +19,33 @@
 
 use crate::events;
 
-/// Largest body of a call, in bytes: a value of 1 MiB in base64 and a frame.
-const BODY: usize = 2 << 20;
+/// Largest request body: a value of 1 MiB in base64, and its JSON around it.
+const MAX_BODY_BYTES: usize = 2 << 20;
 
-/// How long a stop waits for calls in progress; a waiting watch is cut.
-const STOP: ntex::time::Seconds = ntex::time::Seconds(1);
+/// How long a shutdown waits for calls in progress, such as waiting watches.
+const SHUTDOWN_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(1);
 
-/// How often lapsed leases are looked for.
-const LEASE_TICK: Duration = Duration::from_millis(100);
+/// Interval between checks for lapsed leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The stand-in's state, shared by its handlers.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub(crate) struct ServerState {
     db: Arc<Mutex<Db>>,
-    /// Tells waiting watches of changes.
+    /// Wakes waiting watches after a change.
     pub notify: Arc<Notify>,
 }
 
 impl ServerState {
-    /// The state, for one call.
+    /// Locks the database.
     pub fn lock(&self) -> MutexGuard<'_, Db> {
         self.db.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
-/// Applies the configured delay and outage; `Err` holds the failure answer.
-pub(crate) async fn inject_faults(st: &ServerState) -> Result<(), HttpResponse> {
-    let faults = st.lock().faults.clone();
+/// Applies the injected delay and outage; `Err` is the response of the outage.
+pub(crate) async fn inject_faults(state: &ServerState) -> Result<(), HttpResponse> {
+    let faults = state.lock().faults.clone();
     if faults.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     }
@@ -56,19 +55,20 @@
     Ok(())
 }
 
-/// After a write took effect: the answer is lost when a loss is pending.
-pub(crate) fn loses_answer(db: &mut Db) -> bool {
-    if db.faults.lost_answers > 0 {
-        db.faults.lost_answers -= 1;
-        log::warn!("{} answer of a write lost on purpose", events::STORE_LOST);
+/// Whether to withhold the response of a write that took effect; counts down
+/// [`Faults::lost_responses`].
+pub(crate) fn loses_response(db: &mut Db) -> bool {
+    if db.faults.lost_responses > 0 {
+        db.faults.lost_responses -= 1;
+        log::warn!("{} response of a write dropped (injected fault)", events::STORE_LOST);
         return true;
     }
     false
 }
 
-async fn fault(st: State<ServerState>, req: Json<Faults>) -> HttpResponse {
-    log::warn!("{} faults set to {:?}", events::STORE_FAULT, req.0);
-    let mut db = st.lock();
+async fn fault(state: State<ServerState>, req: Json<Faults>) -> HttpResponse {
+    log::warn!("{} injected faults set to {:?}", events::STORE_FAULT, req.0);
+    let mut db = state.lock();
     if req.clear_history {
         db.history.clear();
     }
@@ -76,48 +76,48 @@
     HttpResponse::Ok().finish()
 }
 
-async fn stats(st: State<ServerState>) -> HttpResponse {
-    let db = st.lock();
+async fn stats(state: State<ServerState>) -> HttpResponse {
+    let db = state.lock();
     HttpResponse::Ok().json(&db.stats)
 }
 
-/// Runs the stand-in at `addr`, answering `more` calls beside its own, until the
-/// process is told to stop.
+/// Serves at `addr` until the process is told to stop. `extra_routes` adds
+/// calls of another protocol.
 ///
 /// # Errors
 ///
 /// Fails when the address cannot be bound.
-pub async fn serve(addr: SocketAddr, more: fn(&mut ServiceConfig)) -> anyhow::Result<()> {
+pub async fn serve(addr: SocketAddr, extra_routes: fn(&mut ServiceConfig)) -> anyhow::Result<()> {
     let shared = ServerState { db: Arc::default(), notify: Arc::new(Notify::new()) };
-    let ticker = shared.clone();
-    let tick = tokio::task::spawn_local(async move {
+    let lease_state = shared.clone();
+    let lease_task = tokio::task::spawn_local(async move {
         loop {
-            tokio::time::sleep(LEASE_TICK).await;
-            let expired = ticker.lock().drop_lapsed_leases(Instant::now());
+            tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
+            let expired = lease_state.lock().drop_lapsed_leases(Instant::now());
             if expired {
-                log::info!("{} leases lapsed", events::STORE_LAPSED);
-                ticker.notify.notify_waiters();
+                log::info!("{} leases lapsed; their keys are removed", events::STORE_LAPSED);
+                lease_state.notify.notify_waiters();
             }
         }
     });
     log::info!("{} store listening on {addr}", events::STORE_START);
-    let st = shared.clone();
+    let state = shared.clone();
     let server = HttpServer::new(async move || {
         App::new()
-            .state(st.clone())
-            .state(JsonConfig::default().limit(BODY))
+            .state(state.clone())
+            .state(JsonConfig::default().limit(MAX_BODY_BYTES))
             .configure(calls::routes)
-            .configure(more)
+            .configure(extra_routes)
             .route("/fault", web::post().to(fault))
             .route("/stats", web::get().to(stats))
     })
     .workers(1)
-    .shutdown_timeout(STOP)
+    .shutdown_timeout(SHUTDOWN_TIMEOUT)
     .bind(addr)
     .map_err(|e| anyhow::anyhow!("store: binding {addr}: {e}"))?
     .run();
     let res = server.await;
-    tick.abort();
-    let _ = tick.await;
+    lease_task.abort();
+    let _ = lease_task.await;
     res.map_err(|e| anyhow::anyhow!("store: serving {addr}: {e}"))
 }
--- a/src/store/traits.rs
+++ b/src/store/traits.rs
@@ -1,24 +1,24 @@
-//! What the product asks of a key-value service, whichever protocol reaches
-//! it: the own interface's [`super::Client`] and the platform's client both
-//! provide it, so that the mirror and the lease stand once.
+//! The operations that agents and balancers need from a key-value service,
+//! independent of its protocol: implemented by [`super::Client`] and by
+//! [`crate::platform::kv::Client`].
 
 use std::time::Duration;
 
 use super::{Client, Kv, WatchBatch};
 
-/// Reading keys and following their changes.
+/// A store whose keys can be listed and watched.
 pub trait WatchStore: Clone {
-    /// Reads every key that starts with `prefix`, with a revision from which
-    /// watching misses no later change.
+    /// Reads every key that starts with `prefix`; returns them with the
+    /// revision after which to watch so that no change is missed.
     ///
     /// # Errors
     ///
     /// Fails when the service is unreachable, slow past the timeout or down.
     fn list(&self, prefix: &str) -> impl Future<Output = anyhow::Result<(i64, Vec<Kv>)>>;
 
-    /// Changes under `prefix` after revision `after`. With `wait`, waits for
-    /// some: returns early with what happened, or empty after the service's
-    /// wait. Without, returns what there is, if the service can.
+    /// Returns the changes under `prefix` after revision `after`. With `wait`,
+    /// waits for a change, and returns none after the service's own time limit.
+    /// Without, returns at once if the service supports it.
     ///
     /// # Errors
     ///
@@ -31,17 +31,17 @@
     ) -> impl Future<Output = anyhow::Result<WatchBatch>>;
 }
 
-/// Holding a key under a lease.
+/// A store whose keys can be attached to leases.
 pub trait LeaseStore {
-    /// Takes a lease; returns its identifier.
+    /// Grants a lease; returns its identifier.
     ///
     /// # Errors
     ///
-    /// Fails when the service is unreachable, slow past the timeout or down;
-    /// the call may have taken effect all the same, as with the other calls.
+    /// Fails when the service is unreachable, slow past the timeout or down.
+    /// The call may have taken effect nevertheless.
     fn grant(&self, ttl: Duration) -> impl Future<Output = anyhow::Result<i64>>;
 
-    /// Renews a lease; says whether it still stands.
+    /// Renews a lease; returns false if it has lapsed.
     ///
     /// # Errors
     ///
@@ -55,8 +55,8 @@
     /// As [`LeaseStore::grant`].
     fn put(&self, key: &str, value: &[u8], lease: i64) -> impl Future<Output = anyhow::Result<()>>;
 
-    /// Whether the key is there: the service may take keys away whose leases
-    /// stand.
+    /// Whether the key exists. The service may lose keys whose leases have not
+    /// lapsed.
     ///
     /// # Errors
     ///
--- a/src/store/types.rs
+++ b/src/store/types.rs
@@ -1,10 +1,7 @@
-//! The JSON messages of the key-value service, after etcd v3's HTTP/JSON
-//! gateway (`/v3/kv/range`, `/v3/kv/put`, `/v3/kv/txn`, `/v3/kv/deleterange`,
-//! `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/watch`).
+//! JSON messages of the key-value service, after etcd v3's HTTP/JSON gateway.
 //!
-//! Keys and values are base64 as in that gateway, and 64-bit integers are
-//! written as strings, as protobuf's JSON mapping does; both forms are read.
-//! These are the types at the border; the rest of the crate uses [`super::Kv`].
+//! Keys and values are base64. 64-bit integers are written as strings, as in
+//! protobuf's JSON mapping, and read from strings or numbers.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +13,7 @@
     ///
     /// # Errors
     ///
-    /// Never, for the serializers used here.
+    /// Fails only if the serializer does.
     pub fn serialize<S: Serializer>(v: &i64, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_str(&v.to_string())
     }
@@ -40,10 +37,10 @@
     }
 }
 
-/// Header of every answer.
+/// Header of every response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Header {
-    /// The store's revision when it answered.
+    /// The store's revision when it responded.
     #[serde(default, with = "int64")]
     pub revision: i64,
 }
@@ -77,10 +74,10 @@
     pub range_end: String,
 }
 
-/// `/v3/kv/range` answer.
+/// `/v3/kv/range` response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RangeResponse {
-    /// Header.
+    /// Revision of the store.
     #[serde(default)]
     pub header: Header,
     /// Keys found.
@@ -100,10 +97,10 @@
     pub lease: i64,
 }
 
-/// Answer carrying only a header (put, delete).
+/// Response of a put or a delete.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HeaderResponse {
-    /// Header.
+    /// Revision of the store.
     #[serde(default)]
     pub header: Header,
 }
@@ -139,16 +136,16 @@
 /// `/v3/kv/txn` request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TxnRequest {
-    /// All must hold for `success` to run.
+    /// Conditions, all of which must hold.
     pub compare: Vec<Compare>,
-    /// Run when every comparison holds.
+    /// Operations to run if they do.
     pub success: Vec<RequestOp>,
 }
 
-/// `/v3/kv/txn` answer.
+/// `/v3/kv/txn` response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// Header.
+    /// Revision of the store.
     #[serde(default)]
     pub header: Header,
     /// Whether the comparisons held.
@@ -156,7 +153,7 @@
     pub succeeded: bool,
 }
 
-/// `/v3/lease/grant` request and answer.
+/// `/v3/lease/grant` request and response, and `/v3/lease/keepalive` request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Lease {
     /// Lease identifier.
@@ -167,7 +164,7 @@
     pub ttl: i64,
 }
 
-/// `/v3/lease/keepalive` answer.
+/// `/v3/lease/keepalive` response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct KeepAliveResponse {
     /// The lease; a TTL of 0 or less means it has lapsed.
@@ -178,11 +175,11 @@
 /// `/v3/watch` request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Keys and first revision to watch.
     pub create_request: WatchCreate,
 }
 
-/// The body of a watch request.
+/// Keys and first revision of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchCreate {
     /// First key, base64.
@@ -195,21 +192,21 @@
     pub start_revision: i64,
 }
 
-/// One line of a watch stream.
+/// `/v3/watch` response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// What happened.
+    /// The events.
     #[serde(default)]
     pub result: WatchResult,
 }
 
-/// The events of one watch line.
+/// Events of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchResult {
-    /// Header.
+    /// Revision of the store.
     #[serde(default)]
     pub header: Header,
-    /// Set when `start_revision` is older than the kept history.
+    /// Above 0 when `start_revision` is older than the kept history.
     #[serde(default, with = "int64")]
     pub compact_revision: i64,
     /// Changes, oldest first.
@@ -217,12 +214,12 @@
     pub events: Vec<Event>,
 }
 
-/// One change.
+/// A change of one key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Event {
     /// `PUT` (the default, omitted by etcd) or `DELETE`.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// The key after the change (only its key for a delete).
+    /// The key after the change; value and lease are empty for a delete.
     pub kv: KeyValue,
 }
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -34,7 +34,7 @@
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
-    ctl::fault(s, &Faults { lost_answers: 1, ..Faults::default() }).await.unwrap();
+    ctl::fault(s, &Faults { lost_responses: 1, ..Faults::default() }).await.unwrap();
     let mut spec = s.profiles[0].clone();
     spec.max_flows = 33;
     assert_eq!(ctl::put(&store, &keys, &spec, rev).await.unwrap(), Outcome::Written);
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -173,7 +173,7 @@
         .play(async |t: &mut Trial| {
             fault(t, &Faults { outage: true, ..Faults::default() }).await;
             tokio::time::sleep(4_000 * MS).await;
-            fault(t, &Faults { clear_history: true, lost_answers: 2, ..Faults::default() }).await;
+            fault(t, &Faults { clear_history: true, lost_responses: 2, ..Faults::default() }).await;
             let client = store(t).await;
             let old = client.get(config::CONFIG_KEY).await?.unwrap();
             let newer = String::from_utf8(old.value)?.replace("\"version\":1", "\"version\":2");
