--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -96,7 +96,7 @@
         None => return Ok(()),
     };
     let Some(writes) = due else { return Ok(()) };
-    let first = store.swap((INDEX, writes.index), &writes.put, &writes.remove).await?;
+    let first = store.compare_and_swap((INDEX, writes.index), &writes.put, &writes.remove).await?;
     log::info!(
         event = events::EDGE_RELAY, version = version, parts = writes.put.len(),
         removed = writes.remove.len(), first = first;
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration, as it lies in the platform's store in full
-//! at each version.
+//! The operators' configuration: routes, services and limits, stored as one JSON
+//! value with a version.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,69 +11,68 @@
 
 use crate::steer::{Route, Routes};
 
-/// Prefix of what the operators write.
+/// Prefix of the keys that operators write.
 pub const OPERATOR_PREFIX: &str = "op/";
 
-/// Key of the newest configuration.
+/// Key of the configuration.
 pub const CONFIG_KEY: &str = "op/config";
 
-/// Limit on a flow's idle time where the configuration names none.
-const IDLE_DEFAULT_MS: u64 = 15_000;
+/// Idle timeout of a flow if the configuration sets none.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// Time limit of a request where its route names none.
-const LIMIT_DEFAULT_MS: u64 = 3_000;
+/// Timeout of a request if its route sets none.
+const DEFAULT_REQUEST_TIMEOUT_MS: u64 = 3_000;
 
 #[derive(Debug, Deserialize)]
-struct Body {
+struct ConfigJson {
     version: u64,
     #[serde(default)]
-    routes: Vec<RouteBody>,
+    routes: Vec<RouteJson>,
     #[serde(default)]
-    services: Vec<ServiceBody>,
+    services: Vec<ServiceJson>,
     #[serde(default)]
-    limits: Limits,
+    limits: LimitsJson,
 }
 
 #[derive(Debug, Deserialize)]
-struct RouteBody {
+struct RouteJson {
     name: Arc<str>,
-    /// An IPv4 address, although called a host.
+    /// The address that callers connect to.
     host: Ipv4Addr,
-    /// A port between slashes, although called a prefix.
+    /// The port, between slashes: `/8080/`.
     prefix: String,
-    /// Absent where the route is split over several services.
+    /// Absent if `backends` lists several services.
     #[serde(default)]
     service: Option<Arc<str>>,
-    /// Time limit of one request, in milliseconds.
+    /// Timeout of a request.
     #[serde(default)]
     timeout_ms: Option<u64>,
     #[serde(default)]
-    backends: Vec<Split>,
+    backends: Vec<BackendJson>,
 }
 
-/// One of several services of a route.
+/// One of several services that share a route by weight.
 #[derive(Debug, Deserialize)]
-struct Split {
+struct BackendJson {
     service: Arc<str>,
     #[serde(default)]
     weight: u32,
 }
 
 #[derive(Debug, Deserialize)]
-struct ServiceBody {
+struct ServiceJson {
     name: Arc<str>,
     #[serde(default)]
     max_conns: Option<u32>,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Limits {
+struct LimitsJson {
     #[serde(default)]
     idle_timeout_ms: Option<u64>,
 }
 
-/// A configuration as operators write it, with a route for each service: for
-/// the stand-ins.
+/// Encodes a configuration with one route to each service, for tests and trials.
 #[must_use]
 pub fn encode(version: u64, routes: &[(&str, SocketAddrV4)]) -> serde_json::Value {
     let route = |(service, addr): &(&str, SocketAddrV4)| {
@@ -86,36 +85,36 @@
     serde_json::json!({ "version": version, "routes": routes, "services": [], "limits": {} })
 }
 
-/// Reads a configuration.
+/// Decodes a configuration.
 ///
 /// # Errors
 ///
-/// Fails when it is no JSON of the platform's form; the error names the
-/// field, or the route whose port is no number.
+/// Fails when the JSON does not match the format, naming the field, or when a
+/// route's port is not a number, naming the route.
 pub fn decode(value: &[u8]) -> anyhow::Result<Routes> {
-    let mut de = serde_json::Deserializer::from_slice(value);
-    let body: Body = serde_path_to_error::deserialize(&mut de)
+    let mut deserializer = serde_json::Deserializer::from_slice(value);
+    let config: ConfigJson = serde_path_to_error::deserialize(&mut deserializer)
         .map_err(|e| anyhow::anyhow!("configuration: field `{}`: {}", e.path(), e.inner()))?;
-    let limits: HashMap<&str, u32> =
-        body.services.iter().filter_map(|s| Some((&*s.name, s.max_conns?))).collect();
-    let mut routes = HashMap::with_capacity(body.routes.len());
-    for r in &body.routes {
+    let max_flows: HashMap<&str, u32> =
+        config.services.iter().filter_map(|s| Some((&*s.name, s.max_conns?))).collect();
+    let mut routes = HashMap::with_capacity(config.routes.len());
+    for r in &config.routes {
         let port = r.prefix.trim_matches('/').parse::<u16>();
         let port = port.with_context(|| format!("configuration: port of route {}", r.name))?;
-        let services = services(r, &limits);
-        let limit = Duration::from_millis(r.timeout_ms.unwrap_or(LIMIT_DEFAULT_MS));
+        let services = route_shares(r, &max_flows);
+        let limit = Duration::from_millis(r.timeout_ms.unwrap_or(DEFAULT_REQUEST_TIMEOUT_MS));
         let route = Route { name: r.name.clone(), services, limit };
         routes.insert(SocketAddrV4::new(r.host, port), route);
     }
-    let idle = body.limits.idle_timeout_ms.unwrap_or(IDLE_DEFAULT_MS);
-    Ok(Routes { version: body.version, routes, idle: Duration::from_millis(idle) })
+    let idle = config.limits.idle_timeout_ms.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS);
+    Ok(Routes { version: config.version, routes, idle: Duration::from_millis(idle) })
 }
 
-fn services(r: &RouteBody, limits: &HashMap<&str, u32>) -> Vec<crate::steer::Share> {
+fn route_shares(r: &RouteJson, max_flows: &HashMap<&str, u32>) -> Vec<crate::steer::Share> {
     let share = |service: &Arc<str>, weight| crate::steer::Share {
         service: service.clone(),
         weight,
-        max_flows: limits.get(&**service).copied().unwrap_or(u32::MAX),
+        max_flows: max_flows.get(&**service).copied().unwrap_or(u32::MAX),
     };
     match &r.service {
         Some(service) => vec![share(service, 1)],
--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -1,4 +1,5 @@
-//! What a target says of itself to the agent beside it, over HTTP.
+//! HTTP calls by which a target reports to the agent beside it: heartbeats with
+//! its state, and deregistration when it ends.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,59 +10,60 @@
 
 use crate::hold::{Report, Start, State};
 
-/// Path of a target's heartbeat, before its id.
+/// Path of a heartbeat; the target's id follows.
 pub const HEARTBEAT_PATH: &str = "/v1/Instances.Heartbeat/";
 
-/// Path by which a target says that it is gone, before its id.
+/// Path of a deregistration; the target's id follows.
 pub const DEREGISTER_PATH: &str = "/v1/Instances.Deregister/";
 
-/// Answer to a heartbeat: no other address for later ones.
+/// Response body: an empty object, so that the target sends later calls to the
+/// same address.
 pub const RESPONSE: &str = "{}";
 
-/// What a target called.
+/// A decoded call of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InstanceCall {
-    /// A heartbeat.
+    /// The target is running, in the given state.
     Heartbeat(Report),
-    /// This start of the target ends now.
+    /// The given start of the target is ending.
     Deregister(Start),
 }
 
 #[derive(Debug, Deserialize)]
-struct Body {
+struct HeartbeatJson {
     service: String,
-    /// Where the target takes packets.
+    /// Address at which the target receives packets.
     address: SocketAddrV4,
     #[serde(rename = "zone")]
     _zone: String,
     #[serde(rename = "version")]
     _version: String,
     capacity: u32,
-    state: Word,
-    /// Milliseconds for which the target is still slow after its start.
+    state: StateJson,
+    /// Time for which the target is still warming up.
     warmup_left_ms: u64,
-    /// Counts the calls of one start, so that a late one can be told.
+    /// Number of the call since the start, to detect reordered calls.
     seq: u64,
-    /// Unix milliseconds of the target's start; not every platform has it.
+    /// Time of the target's start, in Unix milliseconds, if known.
     #[serde(default)]
     born: Option<u64>,
 }
 
-/// What a target says as it ends, if it says anything.
+/// Body of a deregistration; it may be empty.
 #[derive(Debug, Default, Deserialize)]
-struct GoneBody {
+struct DeregisterJson {
     #[serde(default)]
     born: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Word {
+enum StateJson {
     Ready,
     Draining,
 }
 
-/// The body of a heartbeat, as the stand-in of a target sends it.
+/// Encodes the body of a heartbeat, for simulated targets.
 #[must_use]
 pub fn heartbeat_json(
     service: &str,
@@ -75,40 +77,45 @@
     })
 }
 
-/// Reads a call of the target at `target`; `None` when the path is not one.
+/// Decodes a call of the target at `target`; returns `None` for other paths.
 ///
 /// # Errors
 ///
-/// Fails when the body is not of the platform's form, or of a target at another
-/// address; the error names the field.
+/// Fails when the body does not match the format, naming the field, or gives
+/// another address.
 pub fn decode(
     path: &str,
     body: &[u8],
     target: SocketAddrV4,
 ) -> anyhow::Result<Option<InstanceCall>> {
     if let Some(id) = path.strip_prefix(DEREGISTER_PATH) {
-        let b = if body.is_empty() { GoneBody::default() } else { read("end", id, body)? };
-        return Ok(Some(InstanceCall::Deregister(Start { id: id.into(), born: b.born })));
+        let deregistration =
+            if body.is_empty() { DeregisterJson::default() } else { decode_body("end", id, body)? };
+        return Ok(Some(InstanceCall::Deregister(Start {
+            id: id.into(),
+            born: deregistration.born,
+        })));
     }
     let Some(id) = path.strip_prefix(HEARTBEAT_PATH) else { return Ok(None) };
-    let b: Body = read("heartbeat", id, body)?;
-    if b.address != target {
-        bail!("heartbeat of target {id}: address: {} is not {target}", b.address);
+    let heartbeat: HeartbeatJson = decode_body("heartbeat", id, body)?;
+    if heartbeat.address != target {
+        bail!("heartbeat of target {id}: address: {} is not {target}", heartbeat.address);
     }
     Ok(Some(InstanceCall::Heartbeat(Report {
-        start: Start { id: id.into(), born: b.born },
-        service: b.service,
-        slots: b.capacity,
-        state: match b.state {
-            Word::Ready => State::Ready,
-            Word::Draining => State::Draining,
+        start: Start { id: id.into(), born: heartbeat.born },
+        service: heartbeat.service,
+        slots: heartbeat.capacity,
+        state: match heartbeat.state {
+            StateJson::Ready => State::Ready,
+            StateJson::Draining => State::Draining,
         },
-        cold: Duration::from_millis(b.warmup_left_ms),
-        seq: b.seq,
+        cold: Duration::from_millis(heartbeat.warmup_left_ms),
+        seq: heartbeat.seq,
     })))
 }
 
-fn read<B: DeserializeOwned>(step: &str, id: &str, body: &[u8]) -> anyhow::Result<B> {
-    let mut de = serde_json::Deserializer::from_slice(body);
-    serde_path_to_error::deserialize(&mut de).with_context(|| format!("{step} of target {id}"))
+fn decode_body<B: DeserializeOwned>(call: &str, id: &str, body: &[u8]) -> anyhow::Result<B> {
+    let mut deserializer = serde_json::Deserializer::from_slice(body);
+    serde_path_to_error::deserialize(&mut deserializer)
+        .with_context(|| format!("{call} of target {id}"))
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,16 +1,11 @@
-//! The users' platform: its names, formats and calls, and nothing that
-//! decides.
+//! Names, formats and calls of the platform that jujubepost runs on, decoded
+//! into the crate's own types.
 //!
-//! - [`packet`]: the head of the packets that callers and targets exchange.
-//! - [`config`]: the operators' configuration as it lies in the store.
-//! - [`instances`]: what a target says of itself to its agent.
-//! - [`kv`]: the calls of the platform's key-value service; [`server`], the same
-//!   calls answered by the store stand-in.
-//!
-//! Each name of the platform is decoded once, here, into types whose fields
-//! say what they hold. The processes' settings need no code here: the
-//! template `deploy/settings.jsonc` renders the platform's fields in the
-//! product's own format.
+//! - [`packet`]: packets between callers and targets.
+//! - [`config`]: the operators' configuration.
+//! - [`instances`]: heartbeats and deregistration of targets.
+//! - [`kv`]: client of the key-value service; [`server`]: the same calls in the
+//!   in-memory store.
 
 pub mod config;
 mod connector;
@@ -19,5 +14,5 @@
 pub mod packet;
 pub mod server;
 
-/// Path at which the platform's routers ask whether a balancer takes flows.
+/// Path of the balancers' readiness check.
 pub const READY_PATH: &str = "/v1/ready";
