--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -1,5 +1,5 @@
-//! A balancer that missed changes while frozen, and a store that has forgotten
-//! them by the time it asks: it lists again and applies the newest orders.
+//! A balancer suspended while the store discards the changes it missed: it lists the
+//! keys again and applies the newest orders.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use jujubepost::script::Action;
 
 #[ntex::test]
-async fn lists_again() {
+async fn relists_after_compaction() {
     let mut site = common::start("compact", 23_500, 2, 1, 0).await;
     let s = site.settings.clone();
     let steps =
@@ -18,8 +18,8 @@
     for step in steps {
         site.take(&step.parse().unwrap()).await.unwrap();
     }
-    // The waiting watch of the frozen balancer has been answered; its next
-    // one starts at a revision that is forgotten.
+    // The suspended balancer's current watch has ended; its next one starts at a
+    // revision that is no longer in the history.
     "store forget".parse::<Action>().unwrap().take(&s).await.unwrap();
     site.take(&"thaw lb-0".parse().unwrap()).await.unwrap();
     fleet::in_force(&s, Duration::from_secs(5)).await.unwrap();
--- a/tests/frozen.rs
+++ b/tests/frozen.rs
@@ -1,5 +1,5 @@
-//! Processes that are suspended for seconds and resume: a pause begun afterwards takes no
-//! longer than it asks for.
+//! A process that was suspended (SIGSTOP) and resumes: pauses and timeouts that begin
+//! afterwards must not take longer than asked for.
 
 mod common;
 
@@ -17,89 +17,97 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How long after it was acknowledged a change may take to be in force.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Longest time from the resumption to the next read of the store, or to a timeout.
+const MAX_READ_DELAY: Duration = Duration::from_secs(3);
 
-/// How soon after the store's return entries that lapsed are back.
-const ENTRY_BACK: Duration = Duration::from_secs(2);
+/// Longest time from the resumption to the next attempt to acquire a lease.
+const MAX_LEASE_DELAY: Duration = Duration::from_secs(2);
 
 /// How long the process is suspended.
-const FREEZE: Duration = Duration::from_secs(7);
+const SUSPENDED_FOR: Duration = Duration::from_secs(7);
 
-/// When the process is suspended, counted from a test's start.
-const BEGIN: Duration = Duration::from_millis(600);
+/// From the start of a test to the suspension.
+const SUSPEND_AT: Duration = Duration::from_millis(600);
 
-/// When the step of a test falls due: while the process is suspended.
-const STEP: Duration = Duration::from_millis(2_000);
+/// From the start of a test to the end of the first call, during the suspension.
+const CALL_ENDS_AT: Duration = Duration::from_millis(2_000);
 
-/// When another timer of the process falls due, as there always is one: while it is
-/// suspended, too.
-const OTHER: Duration = Duration::from_millis(2_300);
+/// From the start of a test to the expiry of an unrelated timer, also during the
+/// suspension.
+const OTHER_TIMER_AT: Duration = Duration::from_millis(2_300);
 
-/// One test at a time: each suspends the whole process.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held by the running test, as each suspends the whole process.
+static PROCESS_LOCK: Mutex<()> = Mutex::new(());
 
-/// Suspends this process, all of its threads, from [`BEGIN`] on.
-struct Freeze {
+/// Suspends this process, with all its threads, at [`SUSPEND_AT`].
+struct Suspension {
     started: Instant,
     shell: Child,
-    _turn: MutexGuard<'static, ()>,
+    _lock: MutexGuard<'static, ()>,
 }
 
-impl Freeze {
+impl Suspension {
     fn new() -> Self {
-        let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-        let (pid, begin, pause) = (std::process::id(), BEGIN.as_secs_f64(), FREEZE.as_secs_f64());
-        let script = format!("sleep {begin}; kill -STOP {pid}; sleep {pause}; kill -CONT {pid}");
+        let lock = PROCESS_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+        let (pid, delay, pause) =
+            (std::process::id(), SUSPEND_AT.as_secs_f64(), SUSPENDED_FOR.as_secs_f64());
+        let script = format!("sleep {delay}; kill -STOP {pid}; sleep {pause}; kill -CONT {pid}");
         let shell = Command::new("sh").args(["-c", &script]).spawn().unwrap();
-        #[expect(clippy::disallowed_methods, reason = "as the HTTP library's own timers")]
-        tokio::task::spawn_local(ntex::time::sleep(OTHER));
-        Self { started: Instant::now(), shell, _turn: turn }
+        #[expect(clippy::disallowed_methods, reason = "the HTTP library uses this timer, too")]
+        tokio::task::spawn_local(ntex::time::sleep(OTHER_TIMER_AT));
+        Self { started: Instant::now(), shell, _lock: lock }
     }
 
-    /// Waits for the step of the test, which is due while the process is suspended;
-    /// returns when it resumed.
-    async fn step(&self) -> Instant {
-        tokio::time::sleep_until((self.started + STEP).into()).await;
+    /// Waits for [`CALL_ENDS_AT`]; returns when the process resumed.
+    async fn resumed(&self) -> Instant {
+        tokio::time::sleep_until((self.started + CALL_ENDS_AT).into()).await;
         let resumed = Instant::now();
-        assert!(resumed.duration_since(self.started) > FREEZE, "the process was not suspended");
+        assert!(
+            resumed.duration_since(self.started) > SUSPENDED_FOR,
+            "the process was not suspended"
+        );
         resumed
     }
 }
 
-impl Drop for Freeze {
+impl Drop for Suspension {
     fn drop(&mut self) {
         self.shell.wait().unwrap();
     }
 }
 
-/// A store that answers its first call while the process is suspended, and no other.
+/// A store whose first call ends while the process is suspended, and whose second never
+/// ends.
 #[derive(Clone)]
 struct Store {
-    freeze: Rc<Freeze>,
+    suspension: Rc<Suspension>,
     resumed: Rc<Cell<Option<Instant>>>,
-    /// From the resumption to the second call.
-    late: Rc<Cell<Option<Duration>>>,
+    /// Time from the resumption to the second call.
+    delay: Rc<Cell<Option<Duration>>>,
 }
 
 impl Store {
     fn new() -> Self {
-        Self { freeze: Rc::new(Freeze::new()), resumed: Rc::default(), late: Rc::default() }
+        Self {
+            suspension: Rc::new(Suspension::new()),
+            resumed: Rc::default(),
+            delay: Rc::default(),
+        }
     }
 
     async fn call(&self) {
         if let Some(resumed) = self.resumed.get() {
-            self.late.set(Some(resumed.elapsed()));
+            self.delay.set(Some(resumed.elapsed()));
             std::future::pending::<()>().await;
         }
-        self.resumed.set(Some(self.freeze.step().await));
+        self.resumed.set(Some(self.suspension.resumed().await));
     }
 
-    /// How long after the resumption the second call was made.
+    /// Waits for the second call; returns its time since the resumption.
     async fn second_call(&self) -> Duration {
         loop {
-            if let Some(late) = self.late.get() {
-                return late;
+            if let Some(delay) = self.delay.get() {
+                return delay;
             }
             tokio::time::sleep(10 * MS).await;
         }
@@ -121,7 +129,7 @@
 impl LeaseStore for Store {
     async fn grant(&self, _ttl: Duration) -> anyhow::Result<i64> {
         self.call().await;
-        anyhow::bail!("store is away")
+        anyhow::bail!("store is unavailable")
     }
 
     async fn keepalive(&self, _lease: i64) -> anyhow::Result<bool> {
@@ -141,8 +149,8 @@
     }
 }
 
-/// Guards against a change that is not in force in time because the pause before the
-/// next read of the store takes longer after the process was suspended.
+/// Guards against configuration changes that apply late, as the pause before the next
+/// watch call is prolonged by a suspension.
 #[ntex::test]
 async fn watch_after_freeze() {
     let store = Store::new();
@@ -154,39 +162,39 @@
         batch_delay: 300 * MS,
         refresh: Arc::default(),
     };
-    let late = tokio::select! {
-        late = store.second_call() => late,
+    let delay = tokio::select! {
+        delay = store.second_call() => delay,
         () = mirror::follow(&source, |_| None, |_| {}) => unreachable!(),
     };
-    assert!(late < IN_FORCE, "next read {late:?} after the resumption");
+    assert!(delay < MAX_READ_DELAY, "next read {delay:?} after the resumption");
 }
 
-/// Guards against an agent that is not listed again in time because the pause before
-/// the next try takes longer after the process was suspended.
+/// Guards against agents that stay unlisted, as the pause before the next attempt to
+/// acquire a lease is prolonged by a suspension.
 #[ntex::test]
 async fn lease_after_freeze() {
     let store = Store::new();
     let (_value, values) = watch::channel(Vec::new());
     let check = Notify::new();
-    let late = tokio::select! {
-        late = store.second_call() => late,
+    let delay = tokio::select! {
+        delay = store.second_call() => delay,
         () = lease::maintain(&store, "key", values, 10_000, &check) => unreachable!(),
     };
-    assert!(late < ENTRY_BACK, "next try {late:?} after the resumption");
+    assert!(delay < MAX_LEASE_DELAY, "next attempt {delay:?} after the resumption");
 }
 
-/// The whole answer to the first call; nothing answers the next.
+/// Response to the first call; the next gets none.
 const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n";
 
-/// Guards against an unanswered call that times out late after the process was suspended.
+/// Guards against a call whose timeout is prolonged by a suspension.
 #[ntex::test]
 async fn call_after_freeze() {
     let client =
         kv::Client::new(common::falls_silent(NOT_FOUND), 1_000 * MS, 1_000 * MS).await.unwrap();
     assert!(client.get("key").await.unwrap().is_none());
-    let freeze = Freeze::new();
-    let resumed = freeze.step().await;
+    let suspension = Suspension::new();
+    let resumed = suspension.resumed().await;
     assert!(client.get("key").await.is_err());
-    let late = resumed.elapsed();
-    assert!(late < IN_FORCE, "given up {late:?} after the resumption");
+    let delay = resumed.elapsed();
+    assert!(delay < MAX_READ_DELAY, "timed out {delay:?} after the resumption");
 }
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -1,6 +1,6 @@
-//! An agent frozen past its lease: the store drops its announcement, the
-//! balancers stop picking it, and when it runs on it learns that its lease
-//! lapsed, takes a new one and is picked again. No request fails meanwhile.
+//! An agent suspended for longer than its lease: the store removes its announcement,
+//! the balancers stop choosing its target, and after resuming it announces itself
+//! under a new lease. No request fails meanwhile.
 
 mod common;
 
@@ -17,7 +17,7 @@
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     site.send("agent-meter-1", Signal::SIGSTOP);
-    // Lease is 1 s in the test site: wait until the store has dropped it.
+    // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_none());
     let during = Load { feeds: 0, requests: 30, secs: 1, ..Load::default() };
--- a/tests/lease_renewal.rs
+++ b/tests/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! The lease that holds a key is renewed in time, whatever else is done under it.
+//! Leases are renewed in time, whatever other calls are made meanwhile.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,35 +9,35 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Time to live of the lease, in milliseconds: the shortest there is.
+/// Time to live of the lease, in milliseconds: the shortest possible.
 const TTL_MS: u64 = 1_000;
 
-/// A store whose leases stand, and that notes the longest time between renewals.
+/// A store whose leases never lapse; records the longest time between renewals.
 struct Store {
-    renewed: Cell<Instant>,
-    longest: Cell<Duration>,
+    last_renewal: Cell<Instant>,
+    longest_gap: Cell<Duration>,
 }
 
 impl Store {
     fn new() -> Self {
-        Self { renewed: Cell::new(Instant::now()), longest: Cell::default() }
+        Self { last_renewal: Cell::new(Instant::now()), longest_gap: Cell::default() }
     }
 
-    fn renew(&self) {
+    fn record_renewal(&self) {
         let now = Instant::now();
-        let since = now.duration_since(self.renewed.replace(now));
-        self.longest.set(self.longest.get().max(since));
+        let gap = now.duration_since(self.last_renewal.replace(now));
+        self.longest_gap.set(self.longest_gap.get().max(gap));
     }
 }
 
 impl LeaseStore for Store {
     async fn grant(&self, _ttl: Duration) -> anyhow::Result<i64> {
-        self.renew();
+        self.record_renewal();
         Ok(1)
     }
 
     async fn keepalive(&self, _lease: i64) -> anyhow::Result<bool> {
-        self.renew();
+        self.record_renewal();
         Ok(true)
     }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// Guards against entries of idle agents that lapse because each look for the entry, and
-/// each new value of it, puts off the renewal of its lease.
+/// Guards against leases that lapse because each check for the key, and each new value,
+/// postpones the renewal.
 #[ntex::test]
 async fn renewed_while_checked() {
     let store = Store::new();
@@ -70,9 +70,9 @@
         }
     };
     tokio::select! {
-        () = busy => store.renew(),
+        () = busy => store.record_renewal(),
         () = lease::maintain(&store, "key", values, TTL_MS, &check) => unreachable!(),
     }
-    let longest = store.longest.get();
-    assert!(longest < Duration::from_millis(TTL_MS), "not renewed for {longest:?}");
+    let longest_gap = store.longest_gap.get();
+    assert!(longest_gap < Duration::from_millis(TTL_MS), "not renewed for {longest_gap:?}");
 }
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -1,6 +1,5 @@
-//! The key-value service down for a long stretch: balancers keep their last
-//! view and every request is still served; when it comes back, every target
-//! is still announced and in the tables.
+//! An outage of the key-value service longer than the leases: balancers keep routing by
+//! their last view, no request fails, and all targets are announced again afterwards.
 
 mod common;
 
@@ -11,11 +10,11 @@
 use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
-async fn outage_serves_on() {
+async fn requests_served_during_outage() {
     let site = common::start("outage", 22500, 2, 3, 2).await;
     let s = site.settings.clone();
     ctl::fault(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
-    // Longer than the 1 s lease of the test site.
+    // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     let during = Load { feeds: 2, requests: 40, secs: 2, ..Load::default() };
     let rows = bench::measure(&s, &during).await;
