--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -166,6 +166,8 @@
     loop {
         let previous = std::mem::replace(&mut narrow_prefix, scope(&snapshot));
         needs_list |= previous.is_some() && narrow_prefix.is_none();
+        // While recovering, calls do not wait for changes, so that the first response
+        // shows at once that the service works.
         let outcome = tokio::select! {
             biased;
             () = source.refresh.notified() => {
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -93,8 +93,8 @@
     let lease_task = tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
-            let expired = lease_state.lock().drop_lapsed_leases(Instant::now());
-            if expired {
+            let any_lapsed = lease_state.lock().drop_lapsed_leases(Instant::now());
+            if any_lapsed {
                 log::info!("{} leases lapsed; their keys are removed", events::STORE_LAPSED);
                 lease_state.notify.notify_waiters();
             }
