--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -24,7 +24,7 @@
 use crate::relay::Relay;
 use crate::steering::{self, FlowSteering};
 use crate::store::Snapshot;
-use crate::store::mirror::{self, News, Source};
+use crate::store::mirror::{self, MirrorEvent, Source};
 use crate::{events, metrics};
 
 /// Size of the receive buffer; longer datagrams are truncated.
@@ -62,7 +62,7 @@
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
         let to = SocketAddrV4::new(*flow.caller.ip(), self.caller_port);
-        self.sockets.packets.send_packet(to, &packet::reset(flow, seq));
+        self.sockets.packets.send_packet(to, &packet::encode_reset(flow, seq));
     }
 }
 
@@ -78,7 +78,7 @@
         packets: Socket::bind(settings.packets, "packets of callers").await?,
         bus: Socket::bind(settings.bus_addr(), "messages of agents").await?,
     };
-    let board = Board::new(settings.name.clone(), platform::config::PREFIX.into());
+    let board = Board::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
     let admin_server = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
     let ready_server = match settings.ready {
         Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
@@ -126,12 +126,12 @@
         store: connect_store(settings).await?,
         prefix: String::new(),
         peers: settings.peer_addrs(),
-        ask: mirror::Ask::Always,
-        gather: BATCH_DELAY,
+        peer_fallback: mirror::PeerFallback::Always,
+        batch_delay: BATCH_DELAY,
         refresh,
     };
     let relay =
-        Relay::new(platform::config::KEY, &settings.zone, settings.ip, settings.relay_min_bytes());
+        Relay::new(platform::config::CONFIG_KEY, &settings.zone, settings.ip, settings.relay_min_bytes());
     let (snapshots, latest) = watch::channel(None);
     let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), latest);
     let (steer, board) = (steer.clone(), board.clone());
@@ -144,19 +144,19 @@
             prefix
         };
         let follow = mirror::follow(&source, narrow_prefix, |news| match news {
-            News::Copy(snapshot) => {
+            MirrorEvent::Updated(snapshot) => {
                 reader.apply_snapshot(&mut steer.borrow_mut(), snapshot);
                 board.set_ready(steer.borrow().is_ready());
                 let snapshot = Arc::new(snapshot.clone());
                 board.set_copy(snapshot.clone());
                 snapshots.send_replace(Some(snapshot));
             }
-            News::Back => {
+            MirrorEvent::Recovered => {
                 steer.borrow_mut().set_store_reachable(true, Instant::now());
                 log::info!(event = events::EDGE_STORE, after_loss = lost; "store is reachable");
                 lost = false;
             }
-            News::Failed(e) if !lost => {
+            MirrorEvent::StoreFailed(e) if !lost => {
                 steer.borrow_mut().set_store_reachable(false, Instant::now());
                 log::warn!(
                     event = events::EDGE_STORE, error:% = format!("{e:#}");
@@ -165,7 +165,7 @@
                 snapshots.send_replace(None);
                 lost = true;
             }
-            News::Failed(_) => {}
+            MirrorEvent::StoreFailed(_) => {}
         });
         futures_util::join!(follow, relaying);
     }))
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -10,8 +10,8 @@
 use super::AGENT_LEASE_MS;
 use crate::platform;
 use crate::steering::ListedAgent;
-use crate::store::{Lessor, lease};
 use crate::tracker::Incarnation;
+use crate::store::{LeaseStore, lease};
 use crate::{events, metrics};
 
 /// Delay between two attempts to delete the registration. Must allow several
@@ -38,7 +38,7 @@
         );
         return;
     }
-    lease::hold(&store, &key, values, AGENT_LEASE_MS, &lease_check).await;
+    lease::maintain(&store, &key, values, AGENT_LEASE_MS, &lease_check).await;
 }
 
 /// Deletes the registration of an agent whose target has ended, retrying for up to
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -13,7 +13,7 @@
 use crate::platform::kv::Client;
 use crate::steering::FlowSteering;
 use crate::relay::{INDEX_KEY, Relay};
-use crate::store::{Lessor, Snapshot, lease};
+use crate::store::{LeaseStore, Snapshot, lease};
 
 /// Lease of a relay's key. A larger value delays the failover to another relay,
 /// and thus configuration changes, after a relay has died.
@@ -85,7 +85,7 @@
 async fn hold_key(store: Client, key: String) {
     // Only the presence of the key matters; its value is empty.
     let (_value, values) = watch::channel(Vec::new());
-    lease::hold(&store, &key, values, RELAY_LEASE_MS, &Notify::new()).await;
+    lease::maintain(&store, &key, values, RELAY_LEASE_MS, &Notify::new()).await;
 }
 
 async fn remove_key(store: &Client, relay: &Relay) {
@@ -111,7 +111,7 @@
     };
     let Some(transaction) = pending else { return Ok(()) };
     let committed = store
-        .swap((INDEX_KEY, transaction.index_rev), &transaction.puts, &transaction.deletes)
+        .compare_and_swap((INDEX_KEY, transaction.index_rev), &transaction.puts, &transaction.deletes)
         .await?;
     log::info!(
         event = events::EDGE_RELAY, version = version, parts = transaction.puts.len(),
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -9,8 +9,8 @@
 
 use super::registration::Registration;
 use crate::listen::{Answer, Asked, Server};
-use crate::platform::report;
 use crate::tracker::FlowTracker;
+use crate::platform::instances;
 use crate::{events, metrics};
 
 /// Serves the endpoint and applies each report to `holder`.
@@ -27,8 +27,8 @@
 
 fn handle_report(request: &Asked, holder: &mut FlowTracker, registration: &Registration) -> Answer {
     let now = Instant::now();
-    match report::decode(&request.path, &request.body, registration.target) {
-        Ok(Some(report::Call::Heartbeat(r))) => {
+    match instances::decode(&request.path, &request.body, registration.target) {
+        Ok(Some(instances::InstanceCall::Heartbeat(r))) => {
             let (start, state, seq) = (r.incarnation.clone(), r.state, r.seq);
             if holder.handle_report(r, now) {
                 log::info!(
@@ -38,9 +38,9 @@
                 );
                 registration.set_target_start(start);
             }
-            Answer::json(report::ANSWER.to_string())
+            Answer::json(instances::RESPONSE.to_string())
         }
-        Ok(Some(report::Call::Gone(start))) => {
+        Ok(Some(instances::InstanceCall::Deregister(start))) => {
             if holder.handle_shutdown_notice(&start, now) {
                 log::info!(
                     event = events::EDGE_TARGET, target_id:% = start, state = "gone",
@@ -48,7 +48,7 @@
                     "target deregistered"
                 );
             }
-            Answer::json(report::ANSWER.to_string())
+            Answer::json(instances::RESPONSE.to_string())
         }
         Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
         Err(e) => {
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -84,7 +84,7 @@
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
-        self.send_to_caller(flow.caller, &packet::reset(flow, seq));
+        self.send_to_caller(flow.caller, &packet::encode_reset(flow, seq));
     }
 
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
--- a/src/edge/snapshot.rs
+++ b/src/edge/snapshot.rs
@@ -25,7 +25,7 @@
 impl SnapshotReader {
     /// Applies the changes since the last snapshot to `steer`.
     pub fn apply_snapshot(&mut self, steer: &mut FlowSteering, snapshot: &Snapshot) {
-        if let Some(kv) = snapshot.keys.get(platform::config::KEY)
+        if let Some(kv) = snapshot.keys.get(platform::config::CONFIG_KEY)
             && kv.rev != self.config_rev
         {
             self.config_rev = kv.rev;
--- a/src/model/wires.rs
+++ b/src/model/wires.rs
@@ -49,7 +49,7 @@
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
-        self.0.push(Sent::Reset(packet::reset(flow, seq)));
+        self.0.push(Sent::Reset(packet::encode_reset(flow, seq)));
     }
 }
 
@@ -63,7 +63,7 @@
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
-        self.0.push(Sent::Reset(packet::reset(flow, seq)));
+        self.0.push(Sent::Reset(packet::encode_reset(flow, seq)));
     }
 
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
--- a/src/store/keeper.rs
+++ b/src/store/traits.rs
@@ -1,87 +1,87 @@
-//! What the product asks of a key-value service, whichever protocol reaches
-//! it: the own interface's [`super::Client`] and the platform's client both
-//! provide it, so that the mirror and the lease stand once.
+//! The operations that agents and balancers need from a key-value service,
+//! independent of its protocol: implemented by [`super::Client`] and by
+//! [`crate::platform::kv::Client`].
 
 use std::time::Duration;
 
-use super::{Batch, Client, Kv};
+use super::{Client, Kv, WatchBatch};
 
-/// Reading keys and following their changes.
-pub trait Keeper: Clone {
-    /// Reads every key that starts with `prefix`, with a revision from which
-    /// watching misses no later change.
+/// A store whose keys can be listed and watched.
+pub trait WatchStore: Clone {
+    /// Reads every key that starts with `prefix`; returns them with the
+    /// revision after which to watch so that no change is missed.
     ///
     /// # Errors
     ///
     /// Fails when the service is unreachable, slow past the timeout or down.
     fn list(&self, prefix: &str) -> impl Future<Output = anyhow::Result<(i64, Vec<Kv>)>>;
 
-    /// Changes under `prefix` after revision `after`. With `wait`, waits for
-    /// some: returns early with what happened, or empty after the service's
-    /// wait. Without, returns what there is, if the service can.
+    /// Returns the changes under `prefix` after revision `after`. With `wait`,
+    /// waits for a change, and returns none after the service's own time limit.
+    /// Without, returns at once if the service supports it.
     ///
     /// # Errors
     ///
-    /// As [`Keeper::list`].
+    /// As [`WatchStore::list`].
     fn watch(
         &self,
         prefix: &str,
         after: i64,
         wait: bool,
-    ) -> impl Future<Output = anyhow::Result<Batch>>;
+    ) -> impl Future<Output = anyhow::Result<WatchBatch>>;
 }
 
-/// Holding a key under a lease.
-pub trait Lessor {
-    /// Takes a lease; returns its identifier.
+/// A store whose keys can be attached to leases.
+pub trait LeaseStore {
+    /// Grants a lease; returns its identifier.
     ///
     /// # Errors
     ///
-    /// Fails when the service is unreachable, slow past the timeout or down;
-    /// the call may have taken effect all the same, as with the other calls.
+    /// Fails when the service is unreachable, slow past the timeout or down.
+    /// The call may have taken effect nevertheless.
     fn grant(&self, ttl: Duration) -> impl Future<Output = anyhow::Result<i64>>;
 
-    /// Renews a lease; says whether it still stands.
+    /// Renews a lease; returns false if it has lapsed.
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn keepalive(&self, lease: i64) -> impl Future<Output = anyhow::Result<bool>>;
 
     /// Writes one key under `lease` (0 for none).
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn put(&self, key: &str, value: &[u8], lease: i64) -> impl Future<Output = anyhow::Result<()>>;
 
-    /// Whether the key is there: the service may take keys away whose leases
-    /// stand.
+    /// Whether the key exists. The service may lose keys whose leases have not
+    /// lapsed.
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
-    fn has(&self, key: &str) -> impl Future<Output = anyhow::Result<bool>>;
+    /// As [`LeaseStore::grant`].
+    fn exists(&self, key: &str) -> impl Future<Output = anyhow::Result<bool>>;
 
     /// Removes one key.
     ///
     /// # Errors
     ///
-    /// As [`Lessor::grant`].
+    /// As [`LeaseStore::grant`].
     fn delete(&self, key: &str) -> impl Future<Output = anyhow::Result<()>>;
 }
 
-impl Keeper for Client {
+impl WatchStore for Client {
     async fn list(&self, prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Client::list(self, prefix).await
     }
 
-    async fn watch(&self, prefix: &str, after: i64, _wait: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, prefix: &str, after: i64, _wait: bool) -> anyhow::Result<WatchBatch> {
         Client::watch(self, prefix, after + 1).await
     }
 }
 
-impl Lessor for Client {
+impl LeaseStore for Client {
     async fn grant(&self, ttl: Duration) -> anyhow::Result<i64> {
         let secs = i64::try_from(ttl.as_secs()).unwrap_or(i64::MAX);
         Client::grant(self, secs.max(1)).await
@@ -95,7 +95,7 @@
         Client::put(self, key, value, lease).await
     }
 
-    async fn has(&self, key: &str) -> anyhow::Result<bool> {
+    async fn exists(&self, key: &str) -> anyhow::Result<bool> {
         Ok(Client::get(self, key).await?.is_some())
     }
 
--- a/tests/foreign.rs
+++ b/tests/foreign.rs
@@ -8,7 +8,7 @@
 
 use common::wires::*;
 use jujubepost::edge::{AGENT_PREFIX, SnapshotReader};
-use jujubepost::platform::report::{self, Call};
+use jujubepost::platform::instances::{self, InstanceCall};
 use jujubepost::platform::{config, packet};
 use jujubepost::protocol;
 use jujubepost::relay::{self, parts};
@@ -69,8 +69,8 @@
     })
 }
 
-fn decode(body: &[u8]) -> anyhow::Result<Option<Call>> {
-    report::decode("/v1/Instances.Heartbeat/i", body, "10.1.0.1:8165".parse().unwrap())
+fn decode(body: &[u8]) -> anyhow::Result<Option<InstanceCall>> {
+    instances::decode("/v1/Instances.Heartbeat/i", body, "10.1.0.1:8165".parse().unwrap())
 }
 
 fn registration(n: u8) -> Kv {
@@ -103,7 +103,7 @@
             serde_json::to_vec(&r).unwrap()
         };
         let apply = |h: &mut FlowTracker, body: &[u8]| {
-            if let Ok(Some(Call::Heartbeat(r))) = decode(body) {
+            if let Ok(Some(InstanceCall::Heartbeat(r))) = decode(body) {
                 h.handle_report(r, now);
             }
         };
@@ -133,7 +133,7 @@
     fn invalid_config_ignored(value in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut s = steer(1, Instant::now());
         let mut reader = SnapshotReader::default();
-        let kv = Kv { key: config::KEY.into(), value, rev: 3, lease: 0 };
+        let kv = Kv { key: config::CONFIG_KEY.into(), value, rev: 3, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([kv, registration(1)]));
         prop_assert_eq!(s.config_version(), Some(1));
     }
@@ -145,7 +145,7 @@
         let _ = config::decode(&bytes);
         let _ = parts::decode(&bytes);
         let _ = decode(&bytes);
-        let _ = report::decode("/v1/Instances.Deregister/i", &bytes, agent(1));
+        let _ = instances::decode("/v1/Instances.Deregister/i", &bytes, agent(1));
     }
 }
 
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -1,13 +1,13 @@
-//! An agent frozen past its lease: the store drops its announcement, the
-//! balancers stop picking it, and when it runs on it learns that its lease
-//! lapsed, takes a new one and is picked again. No request fails meanwhile.
+//! An agent suspended for longer than its lease: the store removes its announcement,
+//! the balancers stop choosing its target, and after resuming it announces itself
+//! under a new lease. No request fails meanwhile.
 
 mod common;
 
 use std::time::Duration;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::store::{self, Keys};
+use jujubepost::store::{self, KeyLayout};
 use jujubepost::up::Signal;
 
 #[ntex::test]
@@ -15,9 +15,9 @@
     let site = common::start("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let keys = Keys::new(s.store.prefix.clone());
+    let keys = KeyLayout::new(s.store.prefix.clone());
     site.send("agent-meter-1", Signal::SIGSTOP);
-    // Lease is 1 s in the test site: wait until the store has dropped it.
+    // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_none());
     let during = Load { feeds: 0, requests: 30, secs: 1, ..Load::default() };
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -13,8 +13,8 @@
 use jujubepost::relay::parts::{decode, join, split};
 use jujubepost::steering::{FlowSteering, Route, Routes, WeightedService};
 use jujubepost::relay::{self, INDEX_KEY, PART_COUNT, Relay, SYSTEM_PREFIX, part_key};
-use jujubepost::store::mirror::{Ask, News, Source, follow};
-use jujubepost::store::{Batch, Change, Keeper, Kv, Snapshot};
+use jujubepost::store::mirror::{MirrorEvent, PeerFallback, Source, follow};
+use jujubepost::store::{Change, Kv, Snapshot, WatchBatch, WatchStore};
 use jujubepost::trial::{Plan, Trial};
 
 const MS: Duration = Duration::from_millis(1);
@@ -39,7 +39,7 @@
 
 /// The balancer at 10.1.0.`n`, for configurations of 100 bytes or more.
 fn relay_at(n: u8) -> Relay {
-    Relay::new(config::KEY, "gjw-a", Ipv4Addr::new(10, 1, 0, n), 100)
+    Relay::new(config::CONFIG_KEY, "gjw-a", Ipv4Addr::new(10, 1, 0, n), 100)
 }
 
 fn put(copy: &mut Snapshot, key: &str, value: Vec<u8>) {
@@ -59,7 +59,7 @@
 /// A store with a large configuration and no parts.
 fn large_config() -> Snapshot {
     let mut copy = Snapshot::default();
-    put(&mut copy, config::KEY, vec![b' '; 1_000]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 1_000]);
     copy
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn first_listed_balancer_relays() {
     let mut copy = Snapshot::default();
-    put(&mut copy, config::KEY, vec![b' '; 99]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 99]);
     assert!(!relay_at(1).should_relay(&copy), "too small");
     let mut copy = large_config();
     let (first, second) = (relay_at(1), relay_at(2));
@@ -139,7 +139,7 @@
     put(&mut copy, first.key(), Vec::new());
     assert!(first.should_relay(&copy) && !second.should_relay(&copy));
     assert_eq!(second.narrow_prefix(&copy, Some(7)), None, "until its key is gone");
-    let other = Relay::new(config::KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
+    let other = Relay::new(config::CONFIG_KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
     assert!(other.should_relay(&copy), "each data centre has its own");
 }
 
@@ -147,7 +147,7 @@
 fn small_config_deletes_parts() {
     let (mut copy, relay) = (large_config(), relay_at(1));
     publish(&mut copy, &relay, &routes(7, 50));
-    put(&mut copy, config::KEY, vec![b' '; 10]);
+    put(&mut copy, config::CONFIG_KEY, vec![b' '; 10]);
     let transaction = relay.pending_transaction(&copy, &routes(8, 1)).unwrap().unwrap();
     assert_eq!((transaction.puts.len(), transaction.deletes.len()), (0, PART_COUNT + 1));
     assert!(transaction.deletes.iter().any(|key| key == INDEX_KEY));
@@ -165,20 +165,20 @@
     Kv { key: key.into(), value: value.to_vec(), rev, lease: 0 }
 }
 
-impl Keeper for DeadRelayStore {
+impl WatchStore for DeadRelayStore {
     async fn list(&self, _: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Ok(if self.watched.borrow().is_empty() {
-            (99, vec![kv(config::KEY, 5, b"old"), kv(&self.relay, 6, b"")])
+            (99, vec![kv(config::CONFIG_KEY, 5, b"old"), kv(&self.relay, 6, b"")])
         } else {
-            (101, vec![kv(config::KEY, 100, b"new")])
+            (101, vec![kv(config::CONFIG_KEY, 100, b"new")])
         })
     }
 
-    async fn watch(&self, prefix: &str, after: i64, _: bool) -> anyhow::Result<Batch> {
+    async fn watch(&self, prefix: &str, after: i64, _: bool) -> anyhow::Result<WatchBatch> {
         self.watched.borrow_mut().push(prefix.to_string());
         if after == 99 {
             let gone = Change::Delete { key: (&*self.relay).into(), rev: 101 };
-            return Ok(Batch { rev: 101, compacted: false, changes: vec![gone] });
+            return Ok(WatchBatch { rev: 101, compacted: false, changes: vec![gone] });
         }
         std::future::pending().await
     }
@@ -192,16 +192,16 @@
         store: store.clone(),
         prefix: String::new(),
         peers: Vec::new(),
-        ask: Ask::Always,
-        gather: Duration::ZERO,
+        peer_fallback: PeerFallback::Always,
+        batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
     let narrow_prefix =
         |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(SYSTEM_PREFIX);
     let seen = RefCell::new(Vec::new());
     let run = follow(&source, narrow_prefix, |news| {
-        if let News::Copy(copy) = news {
-            seen.borrow_mut().push(copy.keys[config::KEY].value.clone());
+        if let MirrorEvent::Updated(copy) = news {
+            seen.borrow_mut().push(copy.keys[config::CONFIG_KEY].value.clone());
         }
     });
     let _ = tokio::time::timeout(300 * MS, run).await;
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -1,6 +1,5 @@
-//! The key-value service down for a long stretch: balancers keep their last
-//! view and every request is still served; when it comes back, every target
-//! is still announced and in the tables.
+//! An outage of the key-value service longer than the leases: balancers keep routing by
+//! their last view, no request fails, and all targets are announced again afterwards.
 
 mod common;
 
@@ -8,14 +7,14 @@
 
 use jujubepost::bench::{self, Load};
 use jujubepost::ctl;
-use jujubepost::store::{self, Faults, Keys};
+use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
-async fn outage_serves_on() {
+async fn requests_served_during_outage() {
     let site = common::start("outage", 22500, 2, 3, 2).await;
     let s = site.settings.clone();
     ctl::fault(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
-    // Longer than the 1 s lease of the test site.
+    // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     let during = Load { feeds: 2, requests: 40, secs: 2, ..Load::default() };
     let rows = bench::measure(&s, &during).await;
@@ -26,7 +25,8 @@
     ctl::fault(&s, &Faults::default()).await.unwrap();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
-    let (_, kvs) = store.list(&Keys::new(s.store.prefix.clone()).targets()).await.unwrap();
+    let (_, kvs) =
+        store.list(&KeyLayout::new(s.store.prefix.clone()).targets_prefix()).await.unwrap();
     assert_eq!(kvs.len(), 5, "{kvs:?}");
     let after = Load { feeds: 0, requests: 40, secs: 1, ..Load::default() };
     let rows = bench::measure(&s, &after).await;
