--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -28,8 +28,8 @@
 use crate::metrics::{self, Refusal};
 use crate::settings::{BalancerSettings, Policy, Settings};
 use crate::store::mirror::Source;
-use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 use crate::store::{self, KeyLayout};
+use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 use crate::{events, record, refusal};
 
 /// Largest datagram taken, in bytes.
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -84,8 +84,9 @@
         Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
         None => None,
     };
-    let steer = FlowSteering::new(settings.bus_addr(), settings.zone.clone(), settings.flow_lifetime())
-        .with_policy(settings.steering());
+    let steer =
+        FlowSteering::new(settings.bus_addr(), settings.zone.clone(), settings.flow_lifetime())
+            .with_policy(settings.steering());
     let steer = Rc::new(RefCell::new(steer));
     let inspect_server = inspect::serve(&settings, steer.clone()).await?;
     log::info!(
@@ -130,8 +131,12 @@
         batch_delay: BATCH_DELAY,
         refresh,
     };
-    let relay =
-        Relay::new(platform::config::CONFIG_KEY, &settings.zone, settings.ip, settings.relay_min_bytes());
+    let relay = Relay::new(
+        platform::config::CONFIG_KEY,
+        &settings.zone,
+        settings.ip,
+        settings.relay_min_bytes(),
+    );
     let (snapshots, latest) = watch::channel(None);
     let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), latest);
     let (steer, board) = (steer.clone(), board.clone());
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,6 +1,6 @@
 //! The processes on the platform: the balancer on an entry VM ([`entry`]) and the
 //! agent beside a target ([`sidecar`]). They do the I/O and read the clock;
-//! [`crate::steering`] and [`crate::hold`] decide what happens to a packet.
+//! [`crate::steering`] and [`crate::tracker`] decide what happens to a packet.
 
 pub mod entry;
 mod inspect;
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -10,8 +10,8 @@
 use super::AGENT_LEASE_MS;
 use crate::platform;
 use crate::steering::ListedAgent;
-use crate::tracker::Incarnation;
 use crate::store::{LeaseStore, lease};
+use crate::tracker::Incarnation;
 use crate::{events, metrics};
 
 /// Delay between two attempts to delete the registration. Must allow several
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -11,8 +11,8 @@
 
 use crate::events;
 use crate::platform::kv::Client;
-use crate::steering::FlowSteering;
 use crate::relay::{INDEX_KEY, Relay};
+use crate::steering::FlowSteering;
 use crate::store::{LeaseStore, Snapshot, lease};
 
 /// Lease of a relay's key. A larger value delays the failover to another relay,
@@ -111,7 +111,11 @@
     };
     let Some(transaction) = pending else { return Ok(()) };
     let committed = store
-        .compare_and_swap((INDEX_KEY, transaction.index_rev), &transaction.puts, &transaction.deletes)
+        .compare_and_swap(
+            (INDEX_KEY, transaction.index_rev),
+            &transaction.puts,
+            &transaction.deletes,
+        )
         .await?;
     log::info!(
         event = events::EDGE_RELAY, version = version, parts = transaction.puts.len(),
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -9,8 +9,8 @@
 
 use super::registration::Registration;
 use crate::listen::{Answer, Asked, Server};
-use crate::tracker::FlowTracker;
 use crate::platform::instances;
+use crate::tracker::FlowTracker;
 use crate::{events, metrics};
 
 /// Serves the endpoint and applies each report to `holder`.
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -118,8 +118,12 @@
         Previous::Absent => holder.borrow_mut().mark_new(),
         Previous::Present(target) => holder.borrow_mut().set_predecessor(target, Instant::now()),
     }
-    let record =
-        ListedAgent { addr: settings.bus_addr(), zone: settings.zone.clone(), service, target: None };
+    let record = ListedAgent {
+        addr: settings.bus_addr(),
+        zone: settings.zone.clone(),
+        service,
+        target: None,
+    };
     let (value, values) = watch::channel(serde_json::to_vec(&record)?);
     let target = sockets.target;
     let registration =
@@ -159,9 +163,10 @@
     }
     if !ended {
         let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
-        holder
-            .borrow()
-            .send_owner_hints(settings.bus_addr(), &mut PacketSender { sockets: &sockets, buf: &mut buf });
+        holder.borrow().send_owner_hints(
+            settings.bus_addr(),
+            &mut PacketSender { sockets: &sockets, buf: &mut buf },
+        );
     }
     report_server.stop().await;
     super::shut_down(inspect_server, ready_server).await;
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -114,7 +114,10 @@
     })
 }
 
-fn route_shares(r: &RouteJson, max_flows: &HashMap<&str, u32>) -> Vec<crate::steering::WeightedService> {
+fn route_shares(
+    r: &RouteJson,
+    max_flows: &HashMap<&str, u32>,
+) -> Vec<crate::steering::WeightedService> {
     let share = |service: &Arc<str>, weight| crate::steering::WeightedService {
         service: service.clone(),
         weight,
--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -92,7 +92,8 @@
         let deregistration =
             if body.is_empty() { DeregisterJson::default() } else { decode_body("end", id, body)? };
         return Ok(Some(InstanceCall::Deregister(Incarnation {
-            id: id.into(), started_ms: deregistration.born,
+            id: id.into(),
+            started_ms: deregistration.born,
         })));
     }
     let Some(id) = path.strip_prefix(HEARTBEAT_PATH) else { return Ok(None) };
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -14,8 +14,8 @@
 
 use super::Report;
 use crate::flow::{Flags, Flow, Segment};
-use crate::tracker;
 use crate::platform::{instances, packet};
+use crate::tracker;
 
 /// How often a target reports itself.
 const HEARTBEAT: Duration = Duration::from_millis(400);
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -5,9 +5,9 @@
 
 use jujubepost::edge::Settings;
 use jujubepost::platform::config;
+use jujubepost::platform::instances::{self, InstanceCall};
 use jujubepost::protocol::{self, Answer, FlowStatus, ForwardMode, Message};
 use jujubepost::tracker::{Incarnation, TargetState};
-use jujubepost::platform::instances::{self, InstanceCall};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -81,7 +81,10 @@
         Incarnation { id: "i-1".into(), started_ms: Some(1_796_265_600_123) }
     );
     let gone = decode("/v1/Instances.Deregister/i-1", br#"{"born":7}"#).unwrap();
-    assert_eq!(gone, Some(InstanceCall::Deregister(Incarnation { id: "i-1".into(), started_ms: Some(7) })));
+    assert_eq!(
+        gone,
+        Some(InstanceCall::Deregister(Incarnation { id: "i-1".into(), started_ms: Some(7) }))
+    );
     let gone = decode("/v1/Instances.Deregister/i-7f3a91c2", b"").unwrap();
     assert_eq!(gone, Some(InstanceCall::Deregister("i-7f3a91c2".into())));
     assert_eq!(decode("/other", b"").unwrap(), None);
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -9,8 +9,8 @@
 use jujubepost::metrics::Refusal;
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
-use jujubepost::wire::{Offer, OfferStage, Owner, Packet, PacketKind};
 use jujubepost::store::{KeyLayout, Kv};
+use jujubepost::wire::{Offer, OfferStage, Owner, Packet, PacketKind};
 
 fn kv(key: String, value: Vec<u8>) -> (Arc<str>, Kv) {
     let key: Arc<str> = key.into();
