--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -1,6 +1,5 @@
-//! A flow as the system sees it: its four addresses and ports, what one of
-//! its packets says, and the table in which balancers and agents remember
-//! flows.
+//! Flow identity, the header fields of packets that balancers and agents read,
+//! and a table of flows with idle expiry.
 
 mod table;
 
@@ -13,7 +12,8 @@
 
 pub use table::FlowTable;
 
-/// A flow's identity: the caller's end and the address it calls.
+/// Identity of a flow: the caller's address and port and the virtual address and
+/// port that it connects to.
 #[derive(
     Clone,
     Copy,
@@ -29,9 +29,9 @@
 )]
 #[display("{caller}>{vip}")]
 pub struct Flow {
-    /// The caller's end.
+    /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// The address that the caller called, which names the route.
+    /// Virtual address and port that the caller connects to; selects the route.
     #[serde(rename = "service")]
     pub vip: SocketAddrV4,
 }
@@ -39,26 +39,25 @@
 impl std::str::FromStr for Flow {
     type Err = anyhow::Error;
 
-    /// Reads `CALLER>SERVICE`, each an address and port, as logs write it.
+    /// Parses `CALLER>VIP`, each an address and port, the format used in logs.
     fn from_str(text: &str) -> anyhow::Result<Self> {
-        let (caller, service) = text.split_once('>').context("a flow is CALLER>SERVICE")?;
+        let (caller, vip) = text.split_once('>').context("flow: expected CALLER>VIP")?;
         Ok(Self {
-            caller: caller.parse().context("the flow's caller")?,
-            vip: service.parse().context("the flow's service")?,
+            caller: caller.parse().context("flow: invalid caller address")?,
+            vip: vip.parse().context("flow: invalid virtual address")?,
         })
     }
 }
 
 impl Flow {
-    /// A hash of its addresses and ports, the same in every process.
+    /// Hash of the addresses and ports, the same in every process.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         xxh3_64(&self.bytes())
     }
 
-    /// Its preference for `agent`: the agents with the highest come first
-    /// (rendezvous hashing), so that a list that changed by one agent changes
-    /// the choice for few flows.
+    /// Rendezvous-hashing weight of `agent` for this flow. Ranking agents by weight
+    /// keeps most flows on the same agent when the list of agents changes.
     #[must_use]
     pub fn preference(&self, agent: SocketAddrV4) -> u64 {
         let seed = u64::from(u32::from(*agent.ip())) << 16 | u64::from(agent.port());
@@ -75,72 +74,72 @@
     }
 }
 
-/// The bits of a packet that the system reads.
+/// Header flags of a packet, as in TCP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
-    /// Asks to open a flow (or, with `ack`, agrees).
+    /// Opens a flow or, with `ack`, accepts it.
     pub syn: bool,
-    /// Carries an acknowledgement.
+    /// The acknowledgement number is valid.
     pub ack: bool,
-    /// The sender has finished.
+    /// The sender has no more data.
     pub fin: bool,
-    /// The flow is over at once.
+    /// The flow is aborted.
     pub rst: bool,
-    /// A target gave the packet back.
+    /// The target returned the caller's packet undelivered.
     pub bounced: bool,
 }
 
-/// What the head of one packet says.
+/// Decoded header of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// The end that sent it.
+    /// Source address and port.
     pub src: SocketAddrV4,
-    /// The end it is for.
+    /// Destination address and port.
     pub dst: SocketAddrV4,
-    /// Its bits.
+    /// Flags.
     pub flags: Flags,
-    /// Position of its data in the sender's stream.
+    /// Sequence number of the first data byte.
     pub seq: u32,
-    /// What the sender has received so far; of a caller's first packet, which
-    /// copy it is.
+    /// Acknowledgement number; in a caller's opening packet, the number of the
+    /// retransmission.
     pub ack: u32,
     /// Bytes of data.
     pub len: u16,
 }
 
 impl Segment {
-    /// The flow of a packet that a caller sent.
+    /// Flow of a packet sent by a caller.
     #[must_use]
     pub const fn flow_from_caller(&self) -> Flow {
         Flow { caller: self.src, vip: self.dst }
     }
 
-    /// The flow of a packet that a target sent.
+    /// Flow of a packet sent by a target.
     #[must_use]
     pub const fn flow_from_target(&self) -> Flow {
         Flow { caller: self.dst, vip: self.src }
     }
 
-    /// Whether a caller sent it to open a flow.
+    /// Whether it is a caller's packet that opens a flow.
     #[must_use]
     pub const fn opens_flow(&self) -> bool {
         self.flags.syn && !self.flags.ack
     }
 }
 
-/// A caller's packet as it came.
+/// A packet received from a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedPacket<'a> {
-    /// What its head says.
+    /// Decoded header.
     pub seg: &'a Segment,
-    /// Its bytes.
+    /// Header and data, unchanged.
     pub packet: &'a [u8],
-    /// When it came.
+    /// Time of receipt.
     pub now: Instant,
 }
 
 impl ReceivedPacket<'_> {
-    /// The flow that it belongs to.
+    /// Flow that the packet belongs to.
     #[must_use]
     pub const fn flow(&self) -> Flow {
         self.seg.flow_from_caller()
--- a/src/flow/table.rs
+++ b/src/flow/table.rs
@@ -1,8 +1,7 @@
-//! A table of flows whose entries go when they were not used for a while.
+//! A table of flows whose entries expire when idle.
 //!
-//! Each entry stands once in a queue, in the order of its next look: removing
-//! what is old costs work for entries that came due, never a pass over all
-//! open flows.
+//! A queue holds one expiry check per entry, ordered by time, so that expiry
+//! costs work only for the entries that are due and never scans the table.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -15,7 +14,7 @@
     last_used: Instant,
 }
 
-/// Flows with what is known of each.
+/// A map from flows to values, with idle expiry.
 #[derive(Debug)]
 pub struct FlowTable<T> {
     entries: HashMap<Flow, Entry<T>>,
@@ -24,69 +23,70 @@
 }
 
 impl<T> FlowTable<T> {
-    /// An empty table that forgets what was not used for `idle`.
+    /// An empty table whose entries expire after `idle_timeout` without use.
     #[must_use]
-    pub fn new(idle: Duration) -> Self {
-        Self { entries: HashMap::new(), expiries: VecDeque::new(), idle_timeout: idle }
+    pub fn new(idle_timeout: Duration) -> Self {
+        Self { entries: HashMap::new(), expiries: VecDeque::new(), idle_timeout }
     }
 
-    /// Flows in the table.
+    /// Number of flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table has no flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of `flow`, without counting as use.
+    /// The value of `flow`. Does not refresh its idle timeout.
     #[must_use]
     pub fn peek(&self, flow: Flow) -> Option<&T> {
         self.entries.get(&flow).map(|e| &e.value)
     }
 
-    /// What is known of `flow`, to be changed without counting as use.
+    /// Mutable access to the value of `flow`. Does not refresh its idle timeout.
     pub fn peek_mut(&mut self, flow: Flow) -> Option<&mut T> {
         self.entries.get_mut(&flow).map(|e| &mut e.value)
     }
 
-    /// What is known of `flow`, which is used now.
+    /// Mutable access to the value of `flow`, whose idle timeout is refreshed.
     pub fn get(&mut self, flow: Flow, now: Instant) -> Option<&mut T> {
         let e = self.entries.get_mut(&flow)?;
         e.last_used = now;
         Some(&mut e.value)
     }
 
-    /// Puts `flow` in, or replaces what is known of it.
+    /// Inserts `flow`, or replaces its value, and refreshes its idle timeout.
     pub fn insert(&mut self, flow: Flow, value: T, now: Instant) {
         if self.entries.insert(flow, Entry { value, last_used: now }).is_none() {
             self.expiries.push_back((now + self.idle_timeout, flow));
         }
     }
 
-    /// Takes `flow` out.
+    /// Removes `flow` and returns its value.
     pub fn remove(&mut self, flow: Flow) -> Option<T> {
         self.entries.remove(&flow).map(|e| e.value)
     }
 
-    /// Every flow with what is known of it.
+    /// All flows and their values, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (Flow, &T)> {
         self.entries.iter().map(|(f, e)| (*f, &e.value))
     }
 
-    /// Forgets what was not used for the idle time; `gone` gets each.
-    pub fn expire(&mut self, now: Instant, mut gone: impl FnMut(Flow, T)) {
+    /// Removes the flows that have been idle for the timeout and passes each to
+    /// `on_expired`.
+    pub fn expire(&mut self, now: Instant, mut on_expired: impl FnMut(Flow, T)) {
         while let Some((at, flow)) = self.expiries.front().copied().filter(|(at, _)| *at <= now) {
             self.expiries.pop_front();
             let Some(e) = self.entries.get(&flow) else { continue };
-            let due = e.last_used + self.idle_timeout;
-            if due > at {
-                self.expiries.push_back((due, flow));
+            let expires_at = e.last_used + self.idle_timeout;
+            if expires_at > at {
+                self.expiries.push_back((expires_at, flow));
             } else if let Some(e) = self.entries.remove(&flow) {
-                gone(flow, e.value);
+                on_expired(flow, e.value);
             }
         }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,9 +1,9 @@
-//! What balancers and agents say to each other about flows: one UDP datagram
-//! a message, a `postcard`-encoded [`Message`] followed, where the message
-//! carries one, by a caller's packet as it came.
+//! The protocol between balancers and agents: one UDP datagram per message, a
+//! `postcard`-encoded [`Message`] followed by the caller's packet if the message
+//! forwards one.
 //!
-//! Variants are numbered in their order, and processes of two versions talk to
-//! each other while a release is rolled out: new ones come last.
+//! Variants are encoded by their position, and two releases talk to each other
+//! during a rollout: add new variants at the end.
 
 use std::net::SocketAddrV4;
 
@@ -13,162 +13,162 @@
 use crate::metrics::Refusal;
 use crate::wire::Offer;
 
-/// Largest datagram between balancers and agents, in bytes: a packet of 1,236
-/// bytes and a message head of at most 200.
+/// Largest datagram between balancers and agents: a 1,236-byte packet and a
+/// message of at most 200 bytes fit.
 pub const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// One message.
+/// A message between balancers and agents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message<'a> {
-    /// The packet that follows asks to open a flow.
+    /// Offers a new flow; the packet that follows opens it.
     Open(#[serde(borrow)] Open<'a>),
-    /// The packet that follows belongs to an open flow.
+    /// Forwards a packet of an established flow, which follows the message.
     #[serde(rename = "Carry")]
     Forward {
-        /// The service that the flow's route names.
+        /// Service that the flow's route names.
         service: &'a str,
-        /// What the agent does if it does not know the flow.
+        /// Why this agent was chosen.
         mode: ForwardMode,
     },
-    /// An agent tells a balancer of a flow.
+    /// An agent tells a balancer the status of a flow.
     #[serde(rename = "Note")]
     FlowUpdate(FlowUpdate),
-    /// A balancer asks an agent which of these flows its target holds.
+    /// A balancer asks an agent which flows its target holds.
     #[serde(rename = "Ask")]
     Query(#[serde(borrow)] Query<'a>),
-    /// An agent answers an [`Query`].
+    /// An agent's response to a [`Query`].
     #[serde(rename = "Answers")]
     Response {
-        /// What it knows of each flow.
+        /// One answer per flow asked for.
         answers: Vec<Answer>,
-        /// Its load, as [`crate::agent::place::load`].
+        /// Load of the agent, as [`crate::agent::place::load`].
         load: u32,
     },
-    /// Which agent's target holds a flow: a balancer tells the flow's home, and an
-    /// agent that stops tells another one, or the agent itself.
+    /// Names the agent whose target holds a flow. Sent by a balancer to the flow's
+    /// home agent, and by a stopping agent to another agent or to the one named.
     Hint {
         /// The flow.
         flow: Flow,
-        /// The agent.
+        /// Agent whose target holds it.
         agent: SocketAddrV4,
     },
-    /// A balancer asks whether the agent is there.
+    /// Checks that an agent is reachable.
     Ping {
         /// Whether the store lists the agent.
         listed: bool,
     },
-    /// An agent is there.
+    /// An agent's reply to a [`Message::Ping`].
     Pong {
-        /// The service of its target.
+        /// Service of the agent's target.
         service: &'a str,
-        /// Its load, as [`crate::agent::place::load`].
+        /// Load of the agent, as [`crate::agent::place::load`].
         load: u32,
     },
-    /// An agent that answered a [`Message::Ping`] says that no process of its target
-    /// runs, as [`FlowStatus::TargetEnded`].
+    /// Sent after a [`Message::Pong`] by an agent whose target has no running
+    /// process, as [`FlowStatus::TargetEnded`].
     #[serde(rename = "Ended")]
     TargetEnded,
 }
 
 impl Message<'_> {
-    /// Whether it hands a packet to the agent that holds its flow; all others
-    /// find or place flows.
+    /// Whether it forwards a packet to the agent believed to own the flow, rather
+    /// than locating or placing a flow.
     #[must_use]
     pub const fn is_forward_to_owner(&self) -> bool {
         matches!(self, Self::Forward { mode: ForwardMode::Owner, .. })
     }
 }
 
-/// An open as offered to agents.
+/// A new flow as offered to agents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open<'a> {
-    /// The service that the flow's route names.
+    /// Service that the flow's route names.
     pub service: &'a str,
-    /// Open flows that a target of the service holds at most.
+    /// Most open flows that one target of the service holds.
     pub max_flows: u32,
-    /// It has waited so long that newer ones go first.
+    /// Whether the open has waited so long that newer ones take precedence.
     pub aged: bool,
-    /// The agents it is offered to.
+    /// Agents that it is offered to.
     pub offer: Offer,
-    /// The balancer that wants to know what became of it.
+    /// Balancer that is told the outcome.
     #[serde(rename = "reply")]
     pub reply_to: SocketAddrV4,
 }
 
-/// Most flows in one [`Query`]: with their answers, which are longer, they fit a
-/// packet of 1,236 bytes, so that no link has to cut it.
+/// Most flows in one [`Query`]: the response, which is longer than the query, fits
+/// in 1,236 bytes and is not fragmented.
 pub const MAX_QUESTIONS: usize = 40;
 
-/// Which agent's target holds some flows. It carries none of their data: most
-/// agents that are asked do not hold them.
+/// Asks which flows a target holds. Caller data is left out, as most of the agents
+/// queried do not hold the flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query<'a> {
-    /// The service that the flows' route names.
+    /// Service that the flows' route names.
     pub service: &'a str,
-    /// The flows.
+    /// The flows, at most [`MAX_QUESTIONS`].
     pub questions: Vec<Question>,
 }
 
-/// One flow that is asked for.
+/// One flow in a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
     /// The flow.
     pub flow: Flow,
-    /// What its caller's last packet acknowledged: of two targets that answered
-    /// copies of one open, the caller goes on with the one that this names.
+    /// Acknowledgement number of the caller's last packet. If two targets answered
+    /// copies of one open, it tells which of them the caller continues with.
     pub ack: Option<u32>,
 }
 
-/// What an agent knows of one flow that was asked for.
+/// What an agent knows about one flow of a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The flow.
     pub flow: Flow,
-    /// Whether its own target holds it.
+    /// Whether the agent's target holds it.
     pub status: FlowStatus,
-    /// Another agent to which it passed the flow's open, or which a balancer
-    /// named.
+    /// Another agent that may own the flow: one that the open was passed on to, or
+    /// one named in a [`Message::Hint`].
     pub hint: Option<SocketAddrV4>,
 }
 
-/// What an agent does with a packet of a flow that it does not know.
+/// Why a packet is forwarded to an agent. In either mode, an agent that may have
+/// missed flows delivers a packet of an unknown flow to its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardMode {
-    /// The balancer believes that the flow is the agent's: an agent that may
-    /// have forgotten flows tries its target.
+    /// The balancer believes that the agent owns the flow.
     Owner,
-    /// No agent knew it: an agent that may have forgotten flows tries its
-    /// target.
+    /// No agent is known to own the flow, and this one may.
     Try,
 }
 
-/// What became of a flow at an agent.
+/// The status of a flow at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowUpdate {
     /// The flow.
     pub flow: Flow,
-    /// What became of it.
+    /// Its status.
     pub status: FlowStatus,
-    /// The agent's load, as [`crate::agent::place::load`].
+    /// Load of the agent, as [`crate::agent::place::load`].
     pub load: u32,
 }
 
-/// What an agent knows of a flow.
+/// What an agent knows about a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FlowStatus {
-    /// Its target holds the flow.
+    /// The target holds the flow.
     Held,
-    /// Its target does not hold the flow.
+    /// The target does not hold the flow.
     Unknown,
-    /// The agent started after its target and has never seen the flow; the
-    /// target may hold it.
+    /// The agent has not seen the flow but started after its target, which may hold
+    /// it.
     Unverified,
-    /// The offered agents may not take it; nothing ran.
+    /// The flow was refused by the agents it was offered to. The target received
+    /// nothing of it.
     Refused(Refusal),
-    /// It was tried at the target, which does not hold it.
+    /// The target returned a packet of the flow, so it does not hold it.
     NotOwner,
-    /// No process of its target runs: it holds no flow, and takes none before the
-    /// store can name the target's next start.
+    /// No process of the target runs. It holds no flow, and takes none until the
+    /// store can list its next start.
     #[serde(rename = "Ended")]
     TargetEnded,
 }
@@ -177,7 +177,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the message does not fit a datagram.
+/// Fails if both do not fit in [`MAX_DATAGRAM_BYTES`].
 pub fn encode(message: &Message<'_>, packet: &[u8], buf: &mut Vec<u8>) -> postcard::Result<()> {
     buf.clear();
     buf.resize(MAX_DATAGRAM_BYTES, 0);
@@ -190,11 +190,11 @@
     Ok(())
 }
 
-/// Decodes a message and the packet that follows it.
+/// Decodes a datagram into its message and the packet that follows.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are no message.
+/// Fails if the datagram does not start with a valid message.
 pub fn decode(bytes: &[u8]) -> postcard::Result<(Message<'_>, &[u8])> {
     postcard::take_from_bytes(bytes)
 }
