--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -1,9 +1,9 @@
-//! New flows: which ones the agent takes for its target.
+//! Admission of new flows.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{FlowPhase, FlowTracker, TrackedFlow, Transmit, pass};
+use super::{FlowPhase, FlowTracker, TrackedFlow, Transmit, pass_on};
 use crate::agent::place::{self, UNABLE, place};
 use crate::agent::{Admit, Step, admit};
 use crate::events;
@@ -13,6 +13,7 @@
 use crate::wire::Offer;
 
 impl FlowTracker {
+    /// Load of the agent, as [`place::load`]; `UNABLE` if it accepts no flows.
     pub(super) fn load(&self, now: Instant) -> u32 {
         let Some(t) = &self.target else { return UNABLE };
         if self.stopping || self.ends_at.is_some() || !t.accepts_flows() || self.is_full(now) {
@@ -22,12 +23,13 @@
         place::backlog(flows, self.waiting + t.warmup_slots(now), self.flow_load.per_flow())
     }
 
-    /// Whether some balancers may not have seen the agent yet.
+    /// Whether some balancers may not know the agent yet.
     fn is_unseen(&self, now: Instant) -> bool {
         self.newly_listed
             && self.first_report.is_none_or(|at| now.duration_since(at) < self.policy.seen)
     }
 
+    /// Whether the target returned an open a short time ago.
     pub(super) fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|at| now < at)
     }
@@ -42,25 +44,25 @@
         if f64::from(self.waiting) >= slots + slots * queue {
             return Admit::Refuse(Refusal::Busy);
         }
-        let leaving = !t.accepts_flows() || self.ends_at.is_some();
-        let drain = leaving.then_some(Duration::ZERO);
+        let draining = !t.accepts_flows() || self.ends_at.is_some();
+        let drain = draining.then_some(Duration::ZERO);
         let max = usize::try_from(open.max_flows).unwrap_or(usize::MAX);
         admit(drain, Duration::ZERO, self.stopping, self.flows.len(), max)
     }
 
-    /// An open offered to this agent.
+    /// Handles an open offered to this agent: accepts it, passes it on or refuses it.
     pub(super) fn handle_open(
         &mut self,
         open: &Open<'_>,
-        came: &ReceivedPacket<'_>,
+        received: &ReceivedPacket<'_>,
         out: &mut impl Transmit,
     ) {
-        let (flow, now) = (came.flow(), came.now);
-        if let Some(h) = self.flows.get(flow, now) {
-            if h.is_opened_by(came.seg) {
-                h.reply_to = Some(open.reply_to);
-                let answered = !matches!(h.phase, FlowPhase::Opening { .. });
-                out.send_to_target(came.packet);
+        let (flow, now) = (received.flow(), received.now);
+        if let Some(tracked) = self.flows.get(flow, now) {
+            if tracked.is_opened_by(received.seg) {
+                tracked.reply_to = Some(open.reply_to);
+                let answered = !matches!(tracked.phase, FlowPhase::Opening { .. });
+                out.send_to_target(received.packet);
                 if answered {
                     self.send_update(flow, FlowStatus::Held, open.reply_to, now, out);
                 }
@@ -77,16 +79,16 @@
         };
         let load = self.load(now);
         match place(admit, load, open.offer) {
-            Step::Take => self.accept_flow(open, came, out),
+            Step::Take => self.accept_flow(open, received, out),
             Step::Pass(offer) => {
                 self.record_hint(flow, offer, now);
-                pass(open, offer, came.packet, out);
+                pass_on(open, offer, received.packet, out);
             }
             Step::Refuse(reason) => self.refuse_flow(flow, reason, open.reply_to, now, out),
         }
     }
 
-    /// Remembers to which agent an open is passed on.
+    /// Records the agent that an open is passed on to as its possible owner.
     pub(super) fn record_hint(&mut self, flow: Flow, offer: Offer, now: Instant) {
         if self.policy.hints {
             self.hints.insert(flow, offer.next_agent(), now);
@@ -96,40 +98,40 @@
     pub(super) fn accept_flow(
         &mut self,
         open: &Open<'_>,
-        came: &ReceivedPacket<'_>,
+        received: &ReceivedPacket<'_>,
         out: &mut impl Transmit,
     ) {
-        let (flow, now) = (came.flow(), came.now);
+        let (flow, now) = (received.flow(), received.now);
         if events::sampled(flow.hash64()) {
             log::info!(
                 event = events::FLOW_TAKEN, flow:% = flow, waiting = self.waiting,
                 flows = self.flows.len(), aged = open.aged;
-                "flow taken (one of many)"
+                "flow accepted (sampled)"
             );
         }
         self.hints.remove(flow);
-        let stage =
+        let phase =
             FlowPhase::Opening { offer: open.offer, max_flows: open.max_flows, aged: open.aged };
-        let other = open.offer.other_agent();
-        self.last_peer = other.or(self.last_peer);
-        let held = TrackedFlow {
+        let other_agent = open.offer.other_agent();
+        self.last_peer = other_agent.or(self.last_peer);
+        let tracked = TrackedFlow {
             reply_to: Some(open.reply_to),
-            other_agent: other,
-            ..TrackedFlow::new(stage, came.seg.seq)
+            other_agent,
+            ..TrackedFlow::new(phase, received.seg.seq)
         };
-        self.flows.insert(flow, held, now);
+        self.flows.insert(flow, tracked, now);
         self.set_waiting(flow, true, now);
         self.pending_opens.push_back((now + self.policy.open_wait, flow));
         self.unanswered_opens.push_back((now + self.policy.open_kept, flow));
-        self.expect_answer(self.policy.silent_open, now);
-        out.send_to_target(came.packet);
+        self.schedule_probe(self.policy.silent_open, now);
+        out.send_to_target(received.packet);
     }
 
     pub(super) fn refuse_flow(
         &self,
         flow: Flow,
         reason: Refusal,
-        reply: SocketAddrV4,
+        reply_to: SocketAddrV4,
         now: Instant,
         out: &mut impl Transmit,
     ) {
@@ -137,8 +139,8 @@
         log::info!(
             event = events::OPEN_DECLINED, flow:% = flow, reason:% = reason,
             waiting = self.waiting, flows = self.flows.len();
-            "open not taken"
+            "open refused"
         );
-        self.send_update(flow, FlowStatus::Refused(reason), reply, now, out);
+        self.send_update(flow, FlowStatus::Refused(reason), reply_to, now, out);
     }
 }
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -1,22 +1,22 @@
-//! The target's life, seen from the agent, and what comes due.
+//! Start, shutdown and failure of the target, and timers.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
 use super::{
-    FlowPhase, FlowTracker, IgnoreReason, Incarnation, Queue, Report, Target, TrackedFlow,
-    Transmit, reset,
+    FlowPhase, FlowTracker, IgnoreReason, Incarnation, Report, Target, TimerQueue, TrackedFlow,
+    Transmit, reset_flow,
 };
 use crate::flow::Flow;
 use crate::protocol::Message;
 use crate::{events, metrics};
 
 impl FlowTracker {
-    /// Takes a report of the target; says whether it changed what the agent
-    /// believes.
+    /// Handles a report of the target. Returns whether it changed the target's
+    /// incarnation or state.
     ///
-    /// A new start leaves the flows as they are: it may have opened some before
-    /// its first report. Those of the start before it come back bounced.
+    /// A new incarnation keeps the tracked flows, as it may have opened some before its
+    /// first report. The target returns packets of its predecessor's flows as bounced.
     pub fn handle_report(&mut self, report: Report, now: Instant) -> bool {
         if let Some(reason) = self.ignore_reason(&report, now) {
             metrics::dropped(reason);
@@ -32,15 +32,15 @@
         self.first_report.get_or_insert(now);
         match &mut self.target {
             Some(t) if *t.incarnation() == report.incarnation => t.update(&report, now),
-            before => {
-                let earlier = self.predecessor.as_ref().filter(|_| !self.inherited);
-                let next = Target::new(&report, before.as_ref(), earlier, now);
-                *before = Some(next);
+            current => {
+                let predecessor = self.predecessor.as_ref().filter(|_| !self.inherited);
+                let next = Target::new(&report, current.as_ref(), predecessor, now);
+                *current = Some(next);
                 self.target_ended = false;
                 self.ends_at = None;
                 if std::mem::take(&mut self.end_announced) {
-                    // Whoever was told takes the agent's silence as the end of its
-                    // flows until the store names this start.
+                    // Until the store lists this incarnation, balancers that know of the
+                    // end take a silent agent's flows as lost.
                     self.newly_listed = true;
                     self.first_report = Some(now);
                 }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The target sent on a flow that this process did not see open: what spoke
-    /// for the earlier process having missed the target's start was wrong.
+    /// Records that the target sent on a flow that this process did not see open, so
+    /// that the previous process did not miss the target's start.
     pub(super) fn mark_inherited(&mut self) {
         self.inherited = true;
         if let Some(t) = &mut self.target {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Why a report says nothing of this agent's target.
+    /// Why a report is ignored, if it is.
     fn ignore_reason(&self, report: &Report, now: Instant) -> Option<IgnoreReason> {
         if *report.service != *self.service {
             return Some(IgnoreReason::OtherService);
@@ -66,59 +66,58 @@
         self.target.as_ref().and_then(|t| t.ignore_reason(&report.incarnation, now))
     }
 
-    /// The target says that its start `start` ends.
+    /// Handles the target's notice that `incarnation` shuts down. Returns whether it is
+    /// the current incarnation, which then counts as ended after a delay.
     ///
-    /// Where it does not say which start that is, an earlier one under the same
-    /// identity may have said it, and a late call would end the flows of this
-    /// one: the target's port is tried instead.
-    pub fn handle_shutdown_notice(&mut self, start: &Incarnation, now: Instant) -> bool {
+    /// A notice without a start time may be a delayed one of an earlier incarnation, so
+    /// the target's port is probed instead.
+    pub fn handle_shutdown_notice(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
         let Some(current) = self.target.as_ref().map(Target::incarnation) else { return false };
-        if current == start {
+        if current == incarnation {
             self.ends_at = Some(now + self.policy.ending);
             return true;
         }
-        if current.id == start.id && start.started_ms.is_none() {
-            self.expect_answer(self.policy.ending, now);
+        if current.id == incarnation.id && incarnation.started_ms.is_none() {
+            self.schedule_probe(self.policy.ending, now);
         }
         false
     }
 
-    /// Before the process ends as planned: tells another agent that this one, at
-    /// `me`, holds its flows, and the owners named by its own hints that they
-    /// hold theirs. The next process here knows no flow; where balancers have
-    /// forgotten it too, who is named has its target tried first. One small
-    /// datagram a flow.
+    /// Hands over flow ownership before a planned stop: tells another agent that the
+    /// agent at `me` owns its open flows, and tells the owners named in its hints that
+    /// they own theirs. Sends one datagram per flow.
     ///
-    /// Without it, agents and balancers rolled out in turn lose the requests of
-    /// the flows that both have forgotten.
+    /// The next process starts without flow state. If the balancers restart as well,
+    /// the hints tell them which agent to try first.
     pub fn send_owner_hints(&self, me: SocketAddrV4, out: &mut impl Transmit) {
         if !self.policy.hints || self.target_ended {
             return;
         }
-        let open = self.flows.iter().filter(|(_, h)| h.phase == FlowPhase::Open);
-        let own = open.filter_map(|(f, h)| Some((h.other_agent.or(self.last_peer)?, f, me)));
+        let open = self.flows.iter().filter(|(_, tracked)| tracked.phase == FlowPhase::Open);
+        let own =
+            open.filter_map(|(f, tracked)| Some((tracked.other_agent.or(self.last_peer)?, f, me)));
         let named = self.hints.iter().filter(|(_, owner)| **owner != me);
         let mut all: Vec<_> = own.chain(named.map(|(f, owner)| (*owner, f, *owner))).collect();
-        // In one order, so that one seed of the model gives one run.
+        // A fixed order keeps simulations reproducible.
         all.sort_unstable();
         for (to, flow, agent) in all {
             out.send_message(to, &Message::Hint { flow, agent }, &[]);
         }
     }
 
-    /// The target's process is over: its flows are gone, and their callers
-    /// are told so that they can come again at once.
+    /// Drops all flows and resets the open ones, so that their callers can reconnect at
+    /// once.
     pub(super) fn reset_flows(&mut self, out: &mut impl Transmit) {
         let mut lost: Vec<(Flow, u32)> = self
             .flows
             .iter()
-            .filter(|(_, h)| h.phase == FlowPhase::Open && h.caller_ack != 0)
-            .map(|(f, h)| (f, h.caller_ack))
+            .filter(|(_, tracked)| tracked.phase == FlowPhase::Open && tracked.caller_ack != 0)
+            .map(|(f, tracked)| (f, tracked.caller_ack))
             .collect();
-        // In one order, so that one seed of the model gives one run.
+        // A fixed order keeps simulations reproducible.
         lost.sort_unstable();
         for (flow, ack) in lost {
-            reset(flow, ack, out);
+            reset_flow(flow, ack, out);
         }
         let flows: Vec<Flow> = self.flows.iter().map(|(f, _)| f).collect();
         for flow in flows {
@@ -126,20 +125,18 @@
         }
     }
 
-    /// Whether the target has been silent for so long that its port should be
-    /// tried.
+    /// Whether the target has been silent for so long that its port should be probed.
     #[must_use]
     pub fn should_probe(&self, now: Instant) -> bool {
         self.may_be_running() && self.probe_at.is_some_and(|at| now >= at)
     }
 
-    /// Whether the target's process may be running.
     fn may_be_running(&self) -> bool {
         !self.target_ended && self.target.as_ref().is_none_or(Target::is_alive)
     }
 
-    /// The target's port is closed: its process is over, and its flows with
-    /// it. The next start reports itself.
+    /// Records that the target's process has ended, and resets its flows. The next
+    /// incarnation is known by its report.
     pub fn mark_target_ended(&mut self, out: &mut impl Transmit) {
         if let Some(t) = &mut self.target {
             t.mark_ended();
@@ -149,80 +146,84 @@
         self.reset_flows(out);
     }
 
-    /// The target's port is open: it is slow, not gone.
+    /// Postpones the next probe after one that found the target's port open.
     pub fn defer_probe(&mut self, now: Instant) {
         self.probe_at = Some(now + self.policy.silent_work);
     }
 
-    /// Something was handed to the target that it answers within `within`.
-    pub(super) fn expect_answer(&mut self, within: Duration, now: Instant) {
-        let at = now + within;
+    /// Schedules a probe of the target's port after `delay`, or leaves an earlier one.
+    pub(super) fn schedule_probe(&mut self, delay: Duration, now: Instant) {
+        let at = now + delay;
         self.probe_at = Some(self.probe_at.map_or(at, |known| known.min(at)));
     }
 
-    /// Counts the flow as waiting for its target, or no longer.
-    pub(super) fn set_waiting(&mut self, flow: Flow, on: bool, now: Instant) {
-        let Some(h) = self.flows.get(flow, now) else { return };
-        if h.waiting_since.is_some() != on {
-            let since = std::mem::replace(&mut h.waiting_since, on.then_some(now));
-            let opened = !matches!(h.phase, FlowPhase::Opening { .. } | FlowPhase::Answered(_));
-            if let Some(at) = since.filter(|_| opened) {
+    /// Sets whether the flow waits for an answer of the target.
+    pub(super) fn set_waiting(&mut self, flow: Flow, waiting: bool, now: Instant) {
+        let Some(tracked) = self.flows.get(flow, now) else { return };
+        if tracked.waiting_since.is_some() != waiting {
+            let since = std::mem::replace(&mut tracked.waiting_since, waiting.then_some(now));
+            let established =
+                !matches!(tracked.phase, FlowPhase::Opening { .. } | FlowPhase::Answered(_));
+            if let Some(at) = since.filter(|_| established) {
                 self.answer_times.note(now.duration_since(at));
             }
             self.flow_load.observe(self.waiting, self.flows.len(), now);
-            self.waiting = if on { self.waiting + 1 } else { self.waiting.saturating_sub(1) };
+            self.waiting = if waiting { self.waiting + 1 } else { self.waiting.saturating_sub(1) };
         }
     }
 
     pub(super) fn close_flow(&mut self, flow: Flow, now: Instant) {
-        if let Some(h) = self.flows.get(flow, now)
-            && h.phase != FlowPhase::Closed
+        if let Some(tracked) = self.flows.get(flow, now)
+            && tracked.phase != FlowPhase::Closed
         {
-            h.phase = FlowPhase::Closed;
+            tracked.phase = FlowPhase::Closed;
             self.closed_flows.push_back((now + self.policy.closed, flow));
         }
         self.set_waiting(flow, false, now);
     }
 
     pub(super) fn remove_flow(&mut self, flow: Flow) -> Option<TrackedFlow> {
-        let held = self.flows.remove(flow)?;
-        if held.waiting_since.is_some() {
+        let tracked = self.flows.remove(flow)?;
+        if tracked.waiting_since.is_some() {
             self.waiting = self.waiting.saturating_sub(1);
         }
-        Some(held)
+        Some(tracked)
     }
 
-    /// When [`FlowTracker::tick`] next has something to do.
+    /// When [`FlowTracker::tick`] or a probe is due next.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         let queues =
             [&self.pending_opens, &self.unanswered_opens, &self.pending_work, &self.closed_flows];
         let first = queues.into_iter().filter_map(|q| q.front().map(|(at, _)| *at)).min();
-        let silent = self.probe_at.filter(|_| self.may_be_running());
-        [first, self.ends_at, silent].into_iter().flatten().min()
+        let probe = self.probe_at.filter(|_| self.may_be_running());
+        [first, self.ends_at, probe].into_iter().flatten().min()
     }
 
-    /// Does what has come due by `now`.
+    /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
-        while let Some(flow) = due(&mut self.pending_opens, now) {
-            let stage = self.flows.peek(flow).map(|h| h.phase);
-            if matches!(stage, Some(FlowPhase::Opening { .. } | FlowPhase::Answered(_))) {
+        while let Some(flow) = pop_due(&mut self.pending_opens, now) {
+            let phase = self.flows.peek(flow).map(|tracked| tracked.phase);
+            if matches!(phase, Some(FlowPhase::Opening { .. } | FlowPhase::Answered(_))) {
                 self.set_waiting(flow, false, now);
             }
         }
-        while let Some(flow) = due(&mut self.unanswered_opens, now) {
-            if matches!(self.flows.peek(flow).map(|h| h.phase), Some(FlowPhase::Opening { .. })) {
+        while let Some(flow) = pop_due(&mut self.unanswered_opens, now) {
+            if matches!(
+                self.flows.peek(flow).map(|tracked| tracked.phase),
+                Some(FlowPhase::Opening { .. })
+            ) {
                 self.remove_flow(flow);
             }
         }
-        while let Some(flow) = due(&mut self.pending_work, now) {
-            let since = self.flows.peek(flow).and_then(|h| h.waiting_since);
+        while let Some(flow) = pop_due(&mut self.pending_work, now) {
+            let since = self.flows.peek(flow).and_then(|tracked| tracked.waiting_since);
             if since.is_some_and(|at| now.duration_since(at) >= self.policy.longest_work) {
                 self.set_waiting(flow, false, now);
             }
         }
-        while let Some(flow) = due(&mut self.closed_flows, now) {
-            if self.flows.peek(flow).is_some_and(|h| h.phase == FlowPhase::Closed) {
+        while let Some(flow) = pop_due(&mut self.closed_flows, now) {
+            if self.flows.peek(flow).is_some_and(|tracked| tracked.phase == FlowPhase::Closed) {
                 self.remove_flow(flow);
             }
         }
@@ -230,15 +231,17 @@
             self.ends_at = None;
             self.mark_target_ended(out);
         }
-        let mut lost = 0;
+        let mut expired_waiting = 0;
         self.hints.expire(now, |_, _| {});
-        self.flows.expire(now, |_, h| lost += u32::from(h.waiting_since.is_some()));
-        self.waiting = self.waiting.saturating_sub(lost);
+        self.flows.expire(now, |_, tracked| {
+            expired_waiting += u32::from(tracked.waiting_since.is_some());
+        });
+        self.waiting = self.waiting.saturating_sub(expired_waiting);
     }
 }
 
-/// Takes the first flow out whose time has come.
-fn due(queue: &mut Queue, now: Instant) -> Option<Flow> {
+/// Removes and returns the first flow whose timer has expired.
+fn pop_due(queue: &mut TimerQueue, now: Instant) -> Option<Flow> {
     queue.front().filter(|(at, _)| *at <= now)?;
     queue.pop_front().map(|(_, flow)| flow)
 }
--- a/src/tracker/load.rs
+++ b/src/tracker/load.rs
@@ -1,31 +1,32 @@
-//! How much work an open flow brings, measured at one target.
+//! Estimate of the load that one open flow puts on its target.
 //!
-//! Long flows are placed once and bring requests for as long as they last.
-//! The requests waiting at the moment say what a short flow meets; they do not
-//! say what a long one adds. The mean number of waiting requests per open
-//! flow, over the last seconds, says that.
+//! A long-lived flow is placed once but sends requests as long as it lasts, so the
+//! number of requests waiting now does not tell what it adds. The estimate is the
+//! exponentially weighted mean of waiting requests per open flow.
 
 use std::time::{Duration, Instant};
 
 use crate::agent::place::SLOT;
 
-/// Over how long the mean is taken: averages over several requests of a flow.
+/// Time constant of the mean. Longer values average over more requests of a flow,
+/// shorter ones follow changes in demand sooner.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// Waiting requests per open flow before anything was measured: one request
-/// a second of 40 ms.
+/// Waiting requests per open flow before the first measurement: one 40 ms request
+/// a second.
 const INITIAL_MEAN: f64 = 0.04;
 
-/// Bounds of the measured mean: a flow that never asks still costs its
-/// target a little, and one that always asks takes one slot.
+/// Bounds of the mean. An idle flow still counts a little, and a flow that always
+/// has a request waiting counts as one slot.
 const MEAN_RANGE: (f64, f64) = (0.005, 1.0);
 
-/// The running mean.
+/// Running estimate of the load per open flow.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadEstimate {
     last_sample: Option<Instant>,
-    /// Seconds of waiting requests, and of open flows, decayed over [`TIME_CONSTANT`].
+    /// Request-seconds spent waiting, decayed over [`TIME_CONSTANT`].
     waiting_secs: f64,
+    /// Flow-seconds open, decayed over [`TIME_CONSTANT`].
     flow_secs: f64,
 }
 
@@ -36,23 +37,24 @@
 }
 
 impl LoadEstimate {
-    /// Until `now`, `waiting` requests waited on `flows` open flows.
+    /// Records that `waiting` requests waited on `flows` open flows since the
+    /// previous call.
     pub fn observe(&mut self, waiting: u32, flows: usize, now: Instant) {
-        let Some(before) = self.last_sample.replace(now) else { return };
-        let dt = now.saturating_duration_since(before).as_secs_f64();
-        let keep = (-dt / TIME_CONSTANT.as_secs_f64()).exp();
+        let Some(previous) = self.last_sample.replace(now) else { return };
+        let elapsed = now.saturating_duration_since(previous).as_secs_f64();
+        let decay = (-elapsed / TIME_CONSTANT.as_secs_f64()).exp();
         let flows = f64::from(u32::try_from(flows).unwrap_or(u32::MAX));
-        self.waiting_secs = self.waiting_secs * keep + f64::from(waiting) * dt;
-        self.flow_secs = self.flow_secs * keep + flows * dt;
+        self.waiting_secs = self.waiting_secs * decay + f64::from(waiting) * elapsed;
+        self.flow_secs = self.flow_secs * decay + flows * elapsed;
     }
 
-    /// The load that one open flow stands for, in units of
+    /// Load that one open flow counts for, in units of
     /// [`crate::agent::place::load`].
     #[must_use]
     pub fn per_flow(&self) -> u32 {
         let mean =
             if self.flow_secs > 0.0 { self.waiting_secs / self.flow_secs } else { INITIAL_MEAN };
-        // Bounded above by one slot, so the cast keeps the value.
+        // The upper bound is one slot, so the cast does not overflow.
         (mean.clamp(MEAN_RANGE.0, MEAN_RANGE.1) * f64::from(SLOT)) as u32
     }
 }
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -1,10 +1,9 @@
-//! An agent's decisions on the packets of its target: which flows the target
-//! holds, which new ones it takes. No sockets and no clocks: time comes in as
-//! an argument, what is to be sent goes out through [`Transmit`].
+//! Connection tracking and flow admission at an agent, without I/O: time is an
+//! argument, and output goes through [`Transmit`].
 //!
-//! The agent sees both directions at its target, so it knows for certain what
-//! the target holds, but for flows that opened before the agent started
-//! ([`Target::complete`]); those it finds by trying.
+//! An agent sees both directions of its target's traffic, so it knows every flow
+//! that opened since it started. Unless [`Target::all_flows_known`], packets of other
+//! flows are delivered to the target to learn whether it holds them.
 
 mod admission;
 mod lifecycle;
@@ -30,27 +29,26 @@
 use crate::protocol::{Message, Open};
 use crate::wire::Offer;
 
-/// Where notes go that nobody waits for.
+/// Reply address of flows whose updates no balancer waits for.
 const NO_REPLY: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0);
 
-/// What an agent sends.
+/// Output of a [`FlowTracker`].
 pub trait Transmit {
-    /// A packet to the target.
+    /// Sends a packet to the target.
     fn send_to_target(&mut self, packet: &[u8]);
-    /// A packet of the target to its caller.
+    /// Sends a packet of the target to the caller at `to`.
     fn send_to_caller(&mut self, to: SocketAddrV4, packet: &[u8]);
-    /// A reset of `flow` to its caller; `seq` is the caller's last
-    /// acknowledgement.
+    /// Resets `flow` at its caller. `seq` is the caller's last acknowledgement
+    /// number.
     fn send_reset(&mut self, flow: Flow, seq: u32);
-    /// A message, followed by a caller's packet, to a balancer or agent.
+    /// Sends a message, followed by a caller's packet, to a balancer or agent.
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]);
 }
 
-/// Flows in the order of their time; all wait equally long, so the last to
-/// come is the last to go.
-type Queue = VecDeque<(Instant, Flow)>;
+/// Timers with the same delay, so that they expire in order of insertion.
+type TimerQueue = VecDeque<(Instant, Flow)>;
 
-/// One agent's knowledge of its target.
+/// Flows, timers and target state of one agent.
 #[derive(Debug)]
 pub struct FlowTracker {
     service: Arc<str>,
@@ -58,64 +56,67 @@
     predecessor: Option<Predecessor>,
     flows: FlowTable<TrackedFlow>,
     policy: Holding,
-    /// Agents to which opens were passed on, and those that balancers or stopping
-    /// agents named, this one among them: what it says when asked for the flow.
+    /// Possible owners of flows: agents that opens were passed on to, and agents named
+    /// in received hints, which may be this one.
     hints: FlowTable<SocketAddrV4>,
-    /// An agent of the service, the last that shared an offer with this one.
+    /// The agent that last shared an offer with this one.
     last_peer: Option<SocketAddrV4>,
-    /// Flows whose target has work to do.
+    /// Flows that wait for an answer of the target.
     waiting: u32,
     flow_load: LoadEstimate,
     answer_times: metrics::Answers,
-    /// Until when the target is taken to be full, after it gave an open back.
+    /// Until when the target counts as full, after it returned an open.
     full_until: Option<Instant>,
-    /// Opens that count as waiting until their time.
-    pending_opens: Queue,
-    /// Opens that are remembered without an answer until their time.
-    unanswered_opens: Queue,
-    /// Flows whose work counts as waiting until their time at most.
-    pending_work: Queue,
-    /// Ended flows that are remembered until their time.
-    closed_flows: Queue,
+    /// When opens without an answer no longer count as waiting.
+    pending_opens: TimerQueue,
+    /// When opens without an answer are forgotten.
+    unanswered_opens: TimerQueue,
+    /// When flows without an answer no longer count as waiting.
+    pending_work: TimerQueue,
+    /// When closed flows are forgotten.
+    closed_flows: TimerQueue,
+    /// When a target that announced its shutdown counts as ended.
     ends_at: Option<Instant>,
-    /// No process of the target runs: its port is closed, or it said goodbye.
+    /// Whether no process of the target runs: its port is closed, or it announced its
+    /// shutdown.
     target_ended: bool,
     stopping: bool,
-    /// The target sent on a flow that this process did not see open, so an
-    /// earlier one took flows for the target's present start.
+    /// Whether the target sent on a flow that this process did not see open, which
+    /// shows that a previous process took flows for the current incarnation.
     inherited: bool,
-    /// Balancers may not know that the agent takes flows: the store did not list
-    /// it before this process, or it has said that its target ended.
+    /// Whether balancers may not know yet that the agent accepts flows: the store did
+    /// not list it before, or it announced that its target ended.
     newly_listed: bool,
-    /// It has said that its target ended.
+    /// Whether the agent has told a balancer that its target ended.
     end_announced: bool,
-    /// When its target first reported, since it is a newcomer.
+    /// When the target first reported since the agent was `newly_listed`.
     first_report: Option<Instant>,
-    /// When the target was first handed something that it should have
-    /// answered by now, if nothing has come from it since.
+    /// When to probe the target's port, unless a packet or report of the target arrives
+    /// earlier.
     probe_at: Option<Instant>,
 }
 
 impl FlowTracker {
-    /// The agent of a target of `service`; flows without packets for `idle` are forgotten.
+    /// A tracker for a target of `service`, with the default policy. Flows expire after
+    /// `idle_timeout` without packets.
     #[must_use]
-    pub fn new(service: Arc<str>, idle: Duration) -> Self {
+    pub fn new(service: Arc<str>, idle_timeout: Duration) -> Self {
         Self {
             answer_times: metrics::Answers::new(&service),
             service,
             target: None,
             predecessor: None,
-            flows: FlowTable::new(idle),
+            flows: FlowTable::new(idle_timeout),
             policy: Holding::default(),
-            hints: FlowTable::new(idle),
+            hints: FlowTable::new(idle_timeout),
             last_peer: None,
             waiting: 0,
             flow_load: LoadEstimate::default(),
             full_until: None,
-            pending_opens: Queue::default(),
-            unanswered_opens: Queue::default(),
-            pending_work: Queue::default(),
-            closed_flows: Queue::default(),
+            pending_opens: TimerQueue::default(),
+            unanswered_opens: TimerQueue::default(),
+            pending_work: TimerQueue::default(),
+            closed_flows: TimerQueue::default(),
             ends_at: None,
             target_ended: false,
             stopping: false,
@@ -127,46 +128,46 @@
         }
     }
 
-    /// The agent with another policy.
+    /// Replaces the policy.
     #[must_use]
     pub fn with_policy(mut self, policy: Holding) -> Self {
         self.policy = policy;
         self
     }
 
-    /// An earlier process beside the target last took flows for the start
-    /// `target`, if that is known; this one takes the target's reports from
-    /// `now` on.
+    /// Sets the incarnation that the previous process of the agent took flows for, if
+    /// it is known. This process receives the target's reports from `now` on.
     pub fn set_predecessor(&mut self, incarnation: Option<Incarnation>, now: Instant) {
         self.predecessor =
             incarnation.map(|incarnation| Predecessor { incarnation, replaced_at: now });
     }
 
-    /// The store did not list the agent before: balancers are yet to see it.
+    /// Records that the store did not list the agent before, so that balancers do not
+    /// know it yet.
     pub const fn mark_new(&mut self) {
         self.newly_listed = true;
     }
 
-    /// Open flows known.
+    /// Number of tracked flows.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Flows whose target has work to do.
+    /// Number of flows that wait for an answer of the target.
     #[must_use]
     pub const fn waiting_count(&self) -> u32 {
         self.waiting
     }
 
-    /// The target as it last reported.
+    /// State of the target; `None` before its first report.
     #[must_use]
     pub const fn target(&self) -> Option<&Target> {
         self.target.as_ref()
     }
 
-    /// What the agent believes, as JSON: its target and, where `flow` is given,
-    /// how far it has come there.
+    /// Status report as JSON: the target, the load and, if `flow` is given, the phase
+    /// of that flow.
     #[must_use]
     pub fn status_json(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
         let target = self.target.as_ref().map(|t| {
@@ -185,30 +186,30 @@
             "waiting": self.waiting,
             "load": self.load(now),
             "stopping": self.stopping,
-            "flow": flow.map(|f| self.flows.peek(f).map(|h| format!("{:?}", h.phase))),
+            "flow": flow.map(|f| self.flows.peek(f).map(|tracked| format!("{:?}", tracked.phase))),
         })
     }
 
-    /// Whether no process of the target runs: its port is closed, or it said
-    /// goodbye.
+    /// Whether no process of the target runs: its port is closed, or it announced its
+    /// shutdown.
     #[must_use]
     pub const fn target_ended(&self) -> bool {
         self.target_ended
     }
 
-    /// Takes no new flow from now on.
+    /// Refuses new flows from now on.
     pub const fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether the agent may go: it is stopping and its target has no work
-    /// in progress.
+    /// Whether the agent is stopping and no flow waits for an answer of the target.
     #[must_use]
     pub const fn is_drained(&self) -> bool {
         self.stopping && self.waiting == 0
     }
 
-    /// Takes one message of a balancer or agent, with the packet after it.
+    /// Handles a message of a balancer or agent. `seg` is the decoded header of the
+    /// `packet` that follows the message, if there is one.
     pub fn handle_message(
         &mut self,
         from: SocketAddrV4,
@@ -229,7 +230,7 @@
                     metrics::refused(Refusal::ForeignOwner);
                 }
             }
-            (Message::Query(ask), _) => self.answer_query(from, ask, now, out),
+            (Message::Query(query), _) => self.answer_query(from, query, now, out),
             (Message::Hint { flow, agent }, _) => self.hints.insert(*flow, *agent, now),
             (Message::Ping { .. }, _) => {
                 let load = self.load(now);
@@ -244,15 +245,15 @@
     }
 }
 
-/// Tells a caller that its flow is gone with the target's process.
-fn reset(flow: Flow, ack: u32, out: &mut impl Transmit) {
+/// Resets a flow at its caller because the target's process has ended.
+fn reset_flow(flow: Flow, ack: u32, out: &mut impl Transmit) {
     log::info!(event = events::FLOW_RESET, flow:% = flow, reason = "target_ended"; "flow reset");
     metrics::refused(Refusal::TargetEnded);
     out.send_reset(flow, ack);
 }
 
-/// Passes an open, of which nothing ran, to the other candidate.
-fn pass(open: &Open<'_>, offer: Offer, packet: &[u8], out: &mut impl Transmit) {
+/// Passes an open, of which the target received nothing, to the other candidate.
+fn pass_on(open: &Open<'_>, offer: Offer, packet: &[u8], out: &mut impl Transmit) {
     metrics::retried(Retry::PassedOn);
     out.send_message(offer.next_agent(), &Message::Open(Open { offer, ..*open }), packet);
 }
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -1,10 +1,10 @@
-//! Packets of flows: from callers to the target and back, and what they say
-//! of the flow.
+//! Forwarding of packets between callers and the target, and the flow state that
+//! follows from them.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use super::{FlowPhase, FlowTracker, NO_REPLY, TrackedFlow, Transmit, pass, reset};
+use super::{FlowPhase, FlowTracker, NO_REPLY, TrackedFlow, Transmit, pass_on, reset_flow};
 use crate::agent::Step;
 use crate::agent::place::give_back;
 use crate::events;
@@ -13,17 +13,17 @@
 use crate::protocol::{FlowStatus, FlowUpdate, ForwardMode, Message, Open};
 
 impl FlowTracker {
-    /// A packet of a flow that some target has open.
+    /// Handles a caller's packet of an established flow.
     pub(super) fn handle_forward(
         &mut self,
         from: SocketAddrV4,
         mode: ForwardMode,
-        came: &ReceivedPacket<'_>,
+        received: &ReceivedPacket<'_>,
         out: &mut impl Transmit,
     ) {
-        let ReceivedPacket { seg, packet, now } = *came;
-        let flow = came.flow();
-        let known = self.flows.get(flow, now).map(|h| h.accepts(seg));
+        let ReceivedPacket { seg, packet, now } = *received;
+        let flow = received.flow();
+        let known = self.flows.get(flow, now).map(|tracked| tracked.accepts(seg));
         match known {
             Some(true) => {
                 self.track_caller_packet(flow, seg, now);
@@ -33,71 +33,76 @@
                 }
             }
             Some(false) => {
-                let tried = self.flows.peek(flow).is_some_and(|h| h.phase == FlowPhase::NotOwner);
+                let tried = self
+                    .flows
+                    .peek(flow)
+                    .is_some_and(|tracked| tracked.phase == FlowPhase::NotOwner);
                 let status = if tried { FlowStatus::NotOwner } else { FlowStatus::Unknown };
                 self.send_update(flow, status, from, now, out);
             }
-            None => self.handle_unknown_flow(from, mode, came, out),
+            None => self.handle_unknown_flow(from, mode, received, out),
         }
     }
 
-    /// A packet of a flow that this agent has not seen.
+    /// Handles a caller's packet of a flow that is not tracked: denies the flow, or
+    /// delivers the packet to learn whether the target holds it.
     pub(super) fn handle_unknown_flow(
         &mut self,
         from: SocketAddrV4,
         mode: ForwardMode,
-        came: &ReceivedPacket<'_>,
+        received: &ReceivedPacket<'_>,
         out: &mut impl Transmit,
     ) {
-        let ReceivedPacket { seg, packet, now } = *came;
-        let flow = came.flow();
+        let ReceivedPacket { seg, packet, now } = *received;
+        let flow = received.flow();
         if let Some(denial) = self.denial_status() {
             self.send_update(flow, denial, from, now, out);
         } else {
             log::info!(
                 event = events::FLOW_TRIED, flow:% = flow, mode:? = mode;
-                "unknown flow tried at the target"
+                "unknown flow; delivering its packet to the target"
             );
-            let held =
+            let tracked =
                 TrackedFlow { reply_to: Some(from), ..TrackedFlow::new(FlowPhase::Trial, seg.seq) };
-            self.flows.insert(flow, held, now);
+            self.flows.insert(flow, tracked, now);
             out.send_to_target(packet);
         }
     }
 
-    /// Notes what a packet of the caller says of its flow.
+    /// Updates the flow's state from a caller's packet.
     pub(super) fn track_caller_packet(&mut self, flow: Flow, seg: &Segment, now: Instant) {
-        let Some(h) = self.flows.get(flow, now) else { return };
+        let Some(tracked) = self.flows.get(flow, now) else { return };
         if seg.flags.ack {
-            h.caller_ack = seg.ack;
+            tracked.caller_ack = seg.ack;
         }
-        if matches!(h.phase, FlowPhase::Answered(_)) {
-            h.phase = FlowPhase::Open;
+        if matches!(tracked.phase, FlowPhase::Answered(_)) {
+            tracked.phase = FlowPhase::Open;
         }
-        h.caller_done |= seg.flags.fin;
-        let over = seg.flags.rst || h.is_finished();
-        if h.record_data(seg) {
+        tracked.caller_done |= seg.flags.fin;
+        let over = seg.flags.rst || tracked.is_finished();
+        if tracked.record_data(seg) {
             self.set_waiting(flow, true, now);
             self.pending_work.push_back((now + self.policy.longest_work, flow));
-            self.expect_answer(self.policy.silent_work, now);
+            self.schedule_probe(self.policy.silent_work, now);
         }
         if over {
             self.close_flow(flow, now);
         }
     }
 
-    /// Takes one packet that the target sent.
+    /// Handles a packet sent by the target. `clear_bounced` removes the bounced flag
+    /// from a returned packet before it is passed on.
     pub fn handle_target_packet(
         &mut self,
         seg: &Segment,
         packet: &mut [u8],
         now: Instant,
         out: &mut impl Transmit,
-        clear: impl FnOnce(&mut [u8]),
+        clear_bounced: impl FnOnce(&mut [u8]),
     ) {
         self.probe_at = None;
         if seg.flags.bounced {
-            clear(packet);
+            clear_bounced(packet);
             self.handle_bounce(seg, packet, now, out);
             return;
         }
@@ -106,6 +111,8 @@
         out.send_to_caller(flow.caller, packet);
     }
 
+    /// Updates the flow's state from a target's packet and tells the waiting balancer
+    /// once the target is known to hold the flow.
     pub(super) fn track_target_packet(
         &mut self,
         flow: Flow,
@@ -113,41 +120,41 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        let Some(h) = self.flows.get(flow, now) else {
+        let Some(tracked) = self.flows.get(flow, now) else {
             // The agent started after the flow opened.
             if !seg.flags.rst {
                 self.mark_inherited();
-                let held =
+                let tracked =
                     TrackedFlow { target_answered: true, ..TrackedFlow::new(FlowPhase::Open, 0) };
-                self.flows.insert(flow, held, now);
+                self.flows.insert(flow, tracked, now);
             }
             return;
         };
-        let before = h.phase;
-        h.phase = match before {
+        let before = tracked.phase;
+        tracked.phase = match before {
             FlowPhase::Opening { .. } | FlowPhase::Answered(_) if seg.flags.syn => {
                 FlowPhase::Answered(seg.seq)
             }
             FlowPhase::Trial | FlowPhase::NotOwner => FlowPhase::Open,
             other => other,
         };
-        h.target_answered = true;
-        let news = h.phase != before;
-        let reply = h.reply_to;
-        h.target_done |= seg.flags.fin;
-        let over = seg.flags.rst || h.is_finished();
+        tracked.target_answered = true;
+        let changed = tracked.phase != before;
+        let reply_to = tracked.reply_to;
+        tracked.target_done |= seg.flags.fin;
+        let over = seg.flags.rst || tracked.is_finished();
         if seg.len > 0 || over {
             self.set_waiting(flow, false, now);
         }
         if over {
             self.close_flow(flow, now);
         }
-        if let (true, Some(to)) = (news, reply) {
+        if let (true, Some(to)) = (changed, reply_to) {
             self.send_update(flow, FlowStatus::Held, to, now, out);
         }
     }
 
-    /// The target gave a packet back: it does not hold the flow, or cannot
+    /// Handles a packet that the target returned: it does not hold the flow, or cannot
     /// accept it.
     pub(super) fn handle_bounce(
         &mut self,
@@ -157,31 +164,35 @@
         out: &mut impl Transmit,
     ) {
         let flow = seg.flow_from_caller();
-        let Some(h) = self.remove_flow(flow) else { return };
-        let reply = h.reply_to.unwrap_or(NO_REPLY);
-        let (FlowPhase::Opening { offer, max_flows, aged }, true) = (h.phase, seg.opens_flow())
+        let Some(tracked) = self.remove_flow(flow) else { return };
+        let reply_to = tracked.reply_to.unwrap_or(NO_REPLY);
+        let (FlowPhase::Opening { offer, max_flows, aged }, true) =
+            (tracked.phase, seg.opens_flow())
         else {
-            if h.target_answered && h.phase != FlowPhase::Closed {
-                reset(flow, seg.ack, out);
+            if tracked.target_answered && tracked.phase != FlowPhase::Closed {
+                reset_flow(flow, seg.ack, out);
             }
             self.flows.insert(flow, TrackedFlow::new(FlowPhase::NotOwner, 0), now);
-            self.send_update(flow, FlowStatus::NotOwner, reply, now, out);
+            self.send_update(flow, FlowStatus::NotOwner, reply_to, now, out);
             return;
         };
         let service = self.service.clone();
-        let open = Open { service: &service, max_flows, aged, offer, reply_to: reply };
+        let open = Open { service: &service, max_flows, aged, offer, reply_to };
         metrics::retried(Retry::Bounced);
         self.full_until = Some(now + self.policy.full);
-        self.expect_answer(Duration::ZERO, now);
+        self.schedule_probe(Duration::ZERO, now);
         match give_back(offer) {
-            Step::Pass(on) => {
-                self.record_hint(flow, on, now);
-                pass(&open, on, packet, out);
+            Step::Pass(offer) => {
+                self.record_hint(flow, offer, now);
+                pass_on(&open, offer, packet, out);
+            }
+            Step::Take | Step::Refuse(_) => {
+                self.refuse_flow(flow, Refusal::Full, reply_to, now, out)
             }
-            Step::Take | Step::Refuse(_) => self.refuse_flow(flow, Refusal::Full, reply, now, out),
         }
     }
 
+    /// Sends a flow's status to the balancer at `to`, unless it is [`NO_REPLY`].
     pub(super) fn send_update(
         &self,
         flow: Flow,
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -1,4 +1,4 @@
-//! Which flows the target holds, as balancers ask.
+//! Answers to balancers' queries about which flows the target holds.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -8,21 +8,21 @@
 use crate::protocol::{Answer, FlowStatus, Message, Query, Question};
 
 impl FlowTracker {
-    /// Answers a balancer. Nothing changes: the packets come to the agent that
-    /// holds their flow.
+    /// Answers a balancer's query. No flow is created: the balancer forwards the
+    /// packets to the agent that turns out to own the flow.
     pub(super) fn answer_query(
         &mut self,
         from: SocketAddrV4,
-        ask: &Query<'_>,
+        query: &Query<'_>,
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        if *ask.service != *self.service {
+        if *query.service != *self.service {
             metrics::refused(Refusal::ForeignOwner);
             return;
         }
-        let mut answers = Vec::with_capacity(ask.questions.len());
-        for question in &ask.questions {
+        let mut answers = Vec::with_capacity(query.questions.len());
+        for question in &query.questions {
             let status = self.flow_status(question, now);
             let hint = self.hints.get(question.flow, now).copied();
             answers.push(Answer { flow: question.flow, status, hint });
@@ -32,10 +32,10 @@
     }
 
     fn flow_status(&mut self, question: &Question, now: Instant) -> FlowStatus {
-        if let Some(h) = self.flows.get(question.flow, now) {
-            return match h.phase {
+        if let Some(tracked) = self.flows.get(question.flow, now) {
+            return match tracked.phase {
                 FlowPhase::Trial => FlowStatus::Unverified,
-                _ if h.matches_ack(question.ack) => FlowStatus::Held,
+                _ if tracked.matches_ack(question.ack) => FlowStatus::Held,
                 FlowPhase::NotOwner => FlowStatus::NotOwner,
                 _ => FlowStatus::Unknown,
             };
@@ -44,13 +44,13 @@
             return denial;
         }
         if self.target.is_none() {
-            self.expect_answer(Duration::ZERO, now);
+            self.schedule_probe(Duration::ZERO, now);
         }
         FlowStatus::Unverified
     }
 
-    /// The status that denies a flow which the agent does not know; none where its
-    /// target may hold it.
+    /// Status that reports an untracked flow as not held; `None` if the target may
+    /// hold it.
     pub(super) fn denial_status(&mut self) -> Option<FlowStatus> {
         if self.target_ended {
             self.end_announced = true;
--- a/src/tracker/target.rs
+++ b/src/tracker/target.rs
@@ -1,159 +1,156 @@
-//! The target beside an agent, as it reports itself.
+//! State of an agent's target, from the reports that the target sends to the agent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Reports of an earlier start are remembered for this many starts, so that a
-/// late one is not taken for a new start.
+/// Number of earlier incarnations remembered, so that a delayed report of one of
+/// them is not taken for a new start.
 const MAX_EARLIER: usize = 8;
 
-/// Number of a target's first report.
+/// Sequence number of an incarnation's first report.
 const FIRST_REPORT: u64 = 1;
 
-/// Highest number of a report that a target makes within its first moments,
-/// when no process beside it answers: it tries again about ten times a second.
+/// Highest sequence number of an early report: one that a target sends while its
+/// first reports go unanswered and are retried about every 0.1 s.
 const MAX_EARLY_REPORT: u64 = 4;
 
-/// How long after the agent began to take reports an early one comes from a
-/// target that nobody had answered before: that target tries again each 0.1 s,
-/// and the agent's start-up on a small share of a core delays it by as much
-/// again. A target whose last report was answered is silent for about 1 s, so
-/// that it is mistaken for the other one time in six, not always.
+/// How long after an agent's start an early report counts as the retry of an
+/// unanswered one. A target that was answered reports about once a second, so a
+/// larger value mistakes its next report for a retry more often; a smaller one
+/// misses retries, which come every 0.1 s.
 const EARLY_REPORT_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long after its last report a start is taken as alive, so that a report
-/// of one that was born before it is late: two of the longest pauses between
-/// reports (1.2 s). After that the VM's time of day may have stepped back
-/// between the two starts, and the report is heard.
+/// How long after its last report an incarnation counts as running: two of the
+/// longest pauses between reports (1.2 s). Meanwhile, a report with an earlier start
+/// time is a delayed one; afterwards it may be of a new start on a VM whose clock was
+/// set back, and is accepted.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(2_400);
 
-/// One start of a target, which may start again under the identity that it had
-/// before.
+/// One start of a target. A target may start again under the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{id}{}", started_ms.map(|ms| format!("@{ms}")).unwrap_or_default())]
 pub struct Incarnation {
-    /// The target's identity.
+    /// Identity of the target.
     pub id: Arc<str>,
-    /// When it started, in Unix milliseconds by its VM's time of day; none where
-    /// targets do not say.
+    /// Start time by the VM's clock, in Unix milliseconds; `None` if the target does
+    /// not report it.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
 }
 
 impl From<&str> for Incarnation {
-    /// The start of a target that does not say when it started.
+    /// An incarnation without a start time.
     fn from(id: &str) -> Self {
         Self { id: id.into(), started_ms: None }
     }
 }
 
-/// An earlier process of the agent, as far as the store tells.
+/// The previous process of an agent, as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// The start of the target for which it is known to have taken flows.
+    /// Incarnation of the target that the process last took flows for.
     pub incarnation: Incarnation,
-    /// When the present process began to take the target's reports.
+    /// When the current process started to receive the target's reports.
     pub replaced_at: Instant,
 }
 
 impl Predecessor {
-    /// Whether `report` shows that the earlier process took no flows for the
-    /// start that sent it.
+    /// Whether `report` shows that the process took no flows for the incarnation that
+    /// sent it.
     ///
-    /// That the store names another start is not enough: the earlier process
-    /// may have met the start of `report` while the store was away. Then it
-    /// answered the start's reports, and the next one is not a retry.
+    /// A different incarnation in the store is not enough: the process may have
+    /// served this one while the store was unavailable. In that case it answered the
+    /// target's reports, and the next one is not a retry.
     fn missed_start(&self, report: &Report, now: Instant) -> bool {
         let retried = now.saturating_duration_since(self.replaced_at) <= EARLY_REPORT_WINDOW;
         self.incarnation != report.incarnation && report.seq <= MAX_EARLY_REPORT && retried
     }
 }
 
-/// Whether a target takes new flows.
+/// Whether a target accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum TargetState {
-    /// It does.
+    /// Accepts new flows.
     #[display("ready")]
     Ready,
-    /// It is about to leave.
+    /// Accepts no new flows and is about to stop.
     #[display("draining")]
     Draining,
 }
 
-/// One report.
+/// A report of a target to its agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The start of the target that made it.
+    /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// The service it runs.
+    /// Service that the target runs.
     pub service: String,
-    /// Requests it works on at once.
+    /// Requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it takes new flows.
+    /// Whether the target accepts new flows.
     pub state: TargetState,
-    /// How much longer it is slow after its start.
+    /// Remaining time in which the target is slow after its start.
     pub warmup: Duration,
-    /// Counts the reports of one start.
+    /// Sequence number among the reports of the incarnation.
     pub seq: u64,
 }
 
-/// Why a report is not heard.
+/// Why a report is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum IgnoreReason {
-    /// It is of another service.
+    /// It names another service.
     #[display("report_of_other_service")]
     OtherService,
-    /// It is of a start that another one has followed.
+    /// It is from an incarnation that has ended or been replaced.
     #[display("report_of_earlier_start")]
     EarlierIncarnation,
-    /// It does not say when its target started, as the target's own reports do.
+    /// It has no start time, but the current incarnation's reports do.
     #[display("report_without_start")]
     MissingStartTime,
 }
 
-/// The target as last reported.
+/// State of a target as of its last report.
 #[derive(Clone, Debug)]
 pub struct Target {
     incarnation: Incarnation,
     earlier: Vec<Incarnation>,
-    /// When it last reported.
     last_report: Instant,
     slots: u32,
     state: TargetState,
     warm_at: Instant,
     seq: u64,
     all_flows_known: bool,
-    /// It is complete only because the earlier process missed its start.
+    /// Whether `all_flows_known` rests only on [`Predecessor::missed_start`].
     presumed: bool,
     ended: bool,
 }
 
 impl Target {
-    /// A target first heard of by `report`; `before` is the one that ran here
-    /// until then, `earlier` the process of the agent before this one.
+    /// State of a new incarnation after its first received `report`. `previous` is the
+    /// incarnation that it replaces, `predecessor` the previous process of the agent.
     ///
-    /// Its flows are all known if its start was seen, by its first report or
-    /// after another's. Where both started at once (the VM lost power), the
-    /// first reports met no agent; then an early one is enough if the earlier
-    /// process missed this start.
+    /// All flows are known if the agent was running when the target started: it
+    /// received the first report, or saw a previous incarnation. If both started
+    /// together, as after a power loss, the first reports may be lost; then an early
+    /// report is enough, provided that the predecessor missed this start.
     #[must_use]
     pub fn new(
         report: &Report,
-        before: Option<&Self>,
-        earlier: Option<&Predecessor>,
+        previous: Option<&Self>,
+        predecessor: Option<&Predecessor>,
         now: Instant,
     ) -> Self {
-        let missed = earlier.is_some_and(|e| e.missed_start(report, now));
-        let seen = before.is_some() || report.seq <= FIRST_REPORT;
-        let mut starts = before.map(|t| t.earlier.clone()).unwrap_or_default();
-        starts.extend(before.map(|t| t.incarnation.clone()));
-        let excess = starts.len().saturating_sub(MAX_EARLIER);
-        starts.drain(..excess);
+        let missed = predecessor.is_some_and(|p| p.missed_start(report, now));
+        let seen = previous.is_some() || report.seq <= FIRST_REPORT;
+        let mut earlier = previous.map(|t| t.earlier.clone()).unwrap_or_default();
+        earlier.extend(previous.map(|t| t.incarnation.clone()));
+        let excess = earlier.len().saturating_sub(MAX_EARLIER);
+        earlier.drain(..excess);
         Self {
             incarnation: report.incarnation.clone(),
-            earlier: starts,
+            earlier,
             last_report: now,
             slots: report.slots,
             state: report.state,
@@ -165,7 +162,8 @@
         }
     }
 
-    /// Takes a later report; says whether the state changed.
+    /// Applies a later report of the same incarnation unless it was reordered. Returns
+    /// whether the target's state changed.
     pub fn update(&mut self, report: &Report, now: Instant) -> bool {
         if report.seq < self.seq {
             return false;
@@ -179,76 +177,78 @@
         changed
     }
 
-    /// Which start of the target it is.
+    /// Current incarnation.
     #[must_use]
     pub const fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// Why a report of `start` is none of this target's or of one that follows
-    /// it.
+    /// Why a report of `incarnation` is ignored; `None` if it is of the current
+    /// incarnation or a later one.
     #[must_use]
-    pub fn ignore_reason(&self, start: &Incarnation, now: Instant) -> Option<IgnoreReason> {
-        let over = self.earlier.contains(start) || self.ended && self.incarnation == *start;
-        if over || self.is_newer_than(start, now) {
+    pub fn ignore_reason(&self, incarnation: &Incarnation, now: Instant) -> Option<IgnoreReason> {
+        let over =
+            self.earlier.contains(incarnation) || self.ended && self.incarnation == *incarnation;
+        if over || self.is_newer_than(incarnation, now) {
             return Some(IgnoreReason::EarlierIncarnation);
         }
-        (self.incarnation.started_ms.is_some() && start.started_ms.is_none())
+        (self.incarnation.started_ms.is_some() && incarnation.started_ms.is_none())
             .then_some(IgnoreReason::MissingStartTime)
     }
 
-    /// Whether `start` came before this one, by the time of day of their VM.
-    fn is_newer_than(&self, start: &Incarnation, now: Instant) -> bool {
+    /// Whether the current incarnation runs and started after `other`, by the VM's
+    /// clock.
+    fn is_newer_than(&self, other: &Incarnation, now: Instant) -> bool {
         let alive =
             !self.ended && now.saturating_duration_since(self.last_report) < LIVENESS_WINDOW;
         alive
-            && start
+            && other
                 .started_ms
                 .zip(self.incarnation.started_ms)
                 .is_some_and(|(theirs, ours)| theirs < ours)
     }
 
-    /// Requests it works on at once.
+    /// Requests that the target processes concurrently.
     #[must_use]
     pub const fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Whether it takes new flows.
+    /// Whether the target accepts new flows.
     #[must_use]
     pub fn accepts_flows(&self) -> bool {
         self.state == TargetState::Ready && !self.ended
     }
 
-    /// Whether its process is not known to be over.
+    /// Whether the target's process is not known to have ended.
     #[must_use]
     pub const fn is_alive(&self) -> bool {
         !self.ended
     }
 
-    /// Its process is over.
+    /// Records that the target's process has ended.
     pub const fn mark_ended(&mut self) {
         self.ended = true;
     }
 
-    /// Its state as last reported.
+    /// State as of the last report.
     #[must_use]
     pub const fn state(&self) -> TargetState {
         self.state
     }
 
-    /// Whether every flow of this start has passed the agent.
+    /// Whether the agent has seen every flow of this incarnation.
     #[must_use]
     pub const fn all_flows_known(&self) -> bool {
         self.all_flows_known
     }
 
-    /// It has flows that an earlier process of the agent opened.
+    /// Records that the target has flows accepted by a previous process of the agent.
     pub const fn mark_inherited(&mut self) {
         self.all_flows_known &= !self.presumed;
     }
 
-    /// Slots that count as taken while the target is slow after its start.
+    /// Slots that count as busy while the target warms up.
     #[must_use]
     pub fn warmup_slots(&self, now: Instant) -> u32 {
         u32::from(self.warm_at > now)
--- a/src/tracker/tracked_flow.rs
+++ b/src/tracker/tracked_flow.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of one flow of its target.
+//! State of one flow at an agent.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -6,62 +6,63 @@
 use crate::flow::Segment;
 use crate::wire::Offer;
 
-/// How far a flow has come at the target.
+/// Phase of a flow at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowPhase {
-    /// The caller's open was handed to the target.
+    /// The open was delivered to the target, which has not answered.
     Opening {
-        /// The agents it was offered to.
+        /// Agents that the open was offered to.
         offer: Offer,
-        /// Open flows that a target of the service holds at most.
+        /// Most open flows that one target of the service holds.
         max_flows: u32,
-        /// It had waited long.
+        /// Whether the open had waited long, as [`crate::protocol::Open::aged`].
         aged: bool,
     },
-    /// The target answered the open, with this first sequence number.
+    /// The target accepted the open with this initial sequence number.
     Answered(u32),
-    /// It is open, or was when the agent started.
+    /// Established, possibly before the agent started.
     Open,
-    /// Tried at the target, which has not answered yet.
+    /// A packet of an unknown flow was delivered to the target, which has not
+    /// answered.
     Trial,
-    /// Tried at the target, which does not hold it.
+    /// The target returned a packet of the flow, so it does not hold it.
     NotOwner,
-    /// Both ends have finished, or one broke it off.
+    /// Both ends have finished, or one reset the flow.
     Closed,
 }
 
-/// One flow.
+/// A flow tracked by an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedFlow {
-    /// How far it has come.
+    /// Phase of the flow.
     pub phase: FlowPhase,
-    /// The first sequence number of the caller.
+    /// Initial sequence number of the caller.
     pub caller_seq: u32,
-    /// The caller's last acknowledgement.
+    /// Last acknowledgement number of the caller.
     pub caller_ack: u32,
-    /// The balancer that wants to know what becomes of it.
+    /// Balancer that is sent updates on the flow.
     pub reply_to: Option<SocketAddrV4>,
-    /// The other agent that its open was offered to.
+    /// The other agent that the open was offered to.
     pub other_agent: Option<SocketAddrV4>,
-    /// The target answered on it, so it held the flow.
+    /// Whether the target has sent on the flow, which shows that it held it.
     pub target_answered: bool,
-    /// End of the caller's data that has come so far.
+    /// Sequence number after the last data byte received from the caller.
     pub caller_end: Option<u32>,
-    /// Since when the target has work to do for it.
+    /// Since when the target owes an answer.
     pub waiting_since: Option<Instant>,
-    /// The caller has finished sending.
+    /// Whether the caller has finished sending.
     pub caller_done: bool,
-    /// The target has finished sending.
+    /// Whether the target has finished sending.
     pub target_done: bool,
 }
 
 impl TrackedFlow {
-    /// A flow at `stage` whose caller sent `seq`.
+    /// A flow in `phase` whose caller has the initial sequence number `caller_seq`.
     #[must_use]
-    pub const fn new(stage: FlowPhase, seq: u32) -> Self {
+    pub const fn new(phase: FlowPhase, caller_seq: u32) -> Self {
         Self {
-            phase: stage,
-            caller_seq: seq,
+            phase,
+            caller_seq,
             caller_ack: 0,
             reply_to: None,
             other_agent: None,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether `seg` is a copy of the packet that asked for this flow.
+    /// Whether `seg` is a copy of the packet that opened this flow.
     #[must_use]
     pub fn is_opened_by(&self, seg: &Segment) -> bool {
         self.caller_seq == seg.seq
@@ -83,16 +84,16 @@
             )
     }
 
-    /// Whether a caller's later packet belongs to this flow. Two targets may
-    /// have answered copies of one open; the caller goes on with the one whose
+    /// Whether a caller's packet after the open belongs to this target's flow. If two
+    /// targets answered copies of one open, the caller continues with the one whose
     /// sequence number it acknowledges.
     #[must_use]
     pub const fn accepts(&self, seg: &Segment) -> bool {
         self.matches_ack(if seg.flags.ack { Some(seg.ack) } else { None })
     }
 
-    /// Whether the caller goes on with this target after a packet that
-    /// acknowledged `ack`, if anything.
+    /// Whether a caller that acknowledges `ack`, if anything, continues with this
+    /// target.
     #[must_use]
     pub const fn matches_ack(&self, ack: Option<u32>) -> bool {
         match (self.phase, ack) {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Notes data of the caller; says whether it is new, not a copy of what
-    /// has come before.
+    /// Records data of the caller. Returns whether it is new rather than a
+    /// retransmission.
     pub fn record_data(&mut self, seg: &Segment) -> bool {
         let end = seg.seq.wrapping_add(u32::from(seg.len));
         let new = seg.len > 0 && self.caller_end.is_none_or(|e| is_after(end, e));
@@ -121,12 +122,12 @@
     }
 }
 
-/// Whether `a` comes after `b` in sequence numbers that wrap around.
+/// Whether sequence number `a` comes after `b`, with wrap-around.
 const fn is_after(a: u32, b: u32) -> bool {
     a != b && a.wrapping_sub(b) < 1 << 31
 }
 
-/// How far the acknowledgement of a caller's first packet may lie past the
-/// target's first sequence number: 16 packets of 1,200 bytes in flight and
-/// one for the open itself.
+/// Most bytes that a caller's first acknowledgement may lie past the target's
+/// initial sequence number: 16 packets of 1,200 bytes in flight and one for the
+/// open itself.
 const MAX_FIRST_ACK: u32 = 16 * 1_200 + 1;
