--- a/src/stream/mod.rs
+++ b/src/stream/mod.rs
@@ -1,6 +1,5 @@
-//! Reliable, ordered delivery over datagrams that may be lost, doubled or
-//! delayed: the sending and receiving halves that the fabric and the agents
-//! share.
+//! Reliable, ordered delivery over a network that may lose, duplicate or reorder
+//! datagrams: the send window and reorder buffer used by the fabric and the agents.
 
 mod reorder;
 mod window;
--- a/src/stream/reorder.rs
+++ b/src/stream/reorder.rs
@@ -1,12 +1,12 @@
-//! The receiving half: pieces put back in order, each taken once.
+//! Reorder buffer: delivers each received segment once and in order.
 
 use std::collections::BTreeMap;
 
-/// Most pieces held while an earlier one is missing; later ones are dropped
-/// and sent again by the peer.
+/// Most segments buffered while an earlier one is missing. Segments beyond are dropped
+/// and have to be retransmitted.
 const MAX_BUFFERED: usize = 256;
 
-/// Pieces that arrived, waiting for the ones before them.
+/// Received segments that wait for earlier ones.
 #[derive(Clone, Debug)]
 pub struct ReorderBuffer<T> {
     next_seq: u32,
@@ -14,29 +14,30 @@
 }
 
 impl<T> ReorderBuffer<T> {
-    /// Waits for position `first` at the start.
+    /// An empty buffer whose first segment is `first_seq`.
     #[must_use]
-    pub const fn new(first: u32) -> Self {
-        Self { next_seq: first, buffered: BTreeMap::new() }
+    pub const fn new(first_seq: u32) -> Self {
+        Self { next_seq: first_seq, buffered: BTreeMap::new() }
     }
 
-    /// The position waited for: every piece below it has been taken.
+    /// Sequence number of the next segment to deliver; all before it are delivered.
     #[must_use]
     pub const fn next_seq(&self) -> u32 {
         self.next_seq
     }
 
-    /// Takes in a piece; one already taken, or too far ahead, is dropped.
-    pub fn insert(&mut self, seq: u32, piece: T) {
+    /// Buffers a segment. A duplicate is dropped, and so is any but the next segment
+    /// while the buffer is full.
+    pub fn insert(&mut self, seq: u32, segment: T) {
         if seq >= self.next_seq && (self.buffered.len() < MAX_BUFFERED || seq == self.next_seq) {
-            self.buffered.entry(seq).or_insert(piece);
+            self.buffered.entry(seq).or_insert(segment);
         }
     }
 
-    /// The next piece in order, if it has arrived.
+    /// Delivers the next segment, if it has been received.
     pub fn pop(&mut self) -> Option<T> {
-        let piece = self.buffered.remove(&self.next_seq)?;
+        let segment = self.buffered.remove(&self.next_seq)?;
         self.next_seq += 1;
-        Some(piece)
+        Some(segment)
     }
 }
--- a/src/stream/window.rs
+++ b/src/stream/window.rs
@@ -1,22 +1,21 @@
-//! The sending half: pieces kept until the peer has acknowledged them, and
-//! when to send them again.
+//! Send window: keeps segments until the peer acknowledges them, with a
+//! retransmission timer.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Pieces in flight before the sender stops reading.
+/// Most segments in flight.
 const WINDOW_SEGMENTS: usize = 64;
 
-/// Pieces sent again at once; the rest follow once these get through.
+/// Most segments retransmitted per timeout, oldest first.
 const RESEND_BURST: usize = 8;
 
-/// The resend timeout doubles up to this many times its start. With 200 ms and a
-/// peer that is given up after 3 s, eight copies are sent before that; at eight
-/// times it were four, and where a network loses 5 % each way, one flow in 10,000
-/// was given up with both ends alive.
+/// Largest retransmission timeout, as a multiple of the initial one. Each timeout
+/// doubles it up to this bound. A larger bound sends fewer copies before a peer is
+/// given up, so that more flows fail on a lossy network.
 const MAX_BACKOFF: u32 = 2;
 
-/// Pieces sent and not yet acknowledged, oldest first.
+/// Segments sent but not yet acknowledged, oldest first.
 #[derive(Clone, Debug)]
 pub struct SendWindow<T> {
     segments: VecDeque<(u32, T)>,
@@ -27,42 +26,43 @@
 }
 
 impl<T> SendWindow<T> {
-    /// An empty window with the resend timeout `rto`.
+    /// An empty window with the initial retransmission timeout `rto`.
     #[must_use]
     pub const fn new(rto: Duration, now: Instant) -> Self {
         Self { segments: VecDeque::new(), rto, backoff: rto, next_resend: None, last_progress: now }
     }
 
-    /// Whether everything sent was acknowledged.
+    /// Whether every segment sent is acknowledged.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.segments.is_empty()
     }
 
-    /// Whether no more may be sent for now.
+    /// Whether nothing may be sent until the peer acknowledges a segment.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.segments.len() >= WINDOW_SEGMENTS
     }
 
-    /// Keeps a piece just sent at position `seq`.
-    pub fn push(&mut self, seq: u32, piece: T, now: Instant) {
-        self.segments.push_back((seq, piece));
+    /// Adds a segment just sent with sequence number `seq`.
+    pub fn push(&mut self, seq: u32, segment: T, now: Instant) {
+        self.segments.push_back((seq, segment));
         if self.segments.len() == 1 {
             self.last_progress = now;
-            self.restart(now);
+            self.restart_timer(now);
         }
     }
 
-    /// The peer waits for `next`: everything below it has arrived.
-    pub fn ack(&mut self, next: u32, now: Instant) {
+    /// Handles a cumulative acknowledgement: the peer has received every segment below
+    /// `next_seq`.
+    pub fn ack(&mut self, next_seq: u32, now: Instant) {
         let before = self.segments.len();
-        while self.segments.front().is_some_and(|(seq, _)| *seq < next) {
+        while self.segments.front().is_some_and(|(seq, _)| *seq < next_seq) {
             self.segments.pop_front();
         }
         if self.segments.len() < before {
             self.last_progress = now;
-            self.restart(now);
+            self.restart_timer(now);
         }
     }
 
@@ -72,18 +72,19 @@
         self.next_resend
     }
 
-    /// The pieces to send again, if they are due at `now`.
+    /// Returns the segments to retransmit at `now`, and backs off the timeout. Empty
+    /// before [`SendWindow::next_resend`].
     pub fn resend(&mut self, now: Instant) -> impl Iterator<Item = &T> {
         let due = self.next_resend.is_some_and(|at| at <= now);
         if due {
             self.backoff = (self.backoff * 2).min(self.rto * MAX_BACKOFF);
             self.next_resend = Some(now + self.backoff);
         }
-        let n = if due { RESEND_BURST } else { 0 };
-        self.segments.iter().take(n).map(|(_, piece)| piece)
+        let count = if due { RESEND_BURST } else { 0 };
+        self.segments.iter().take(count).map(|(_, segment)| segment)
     }
 
-    /// For how long the peer has acknowledged nothing of what is in flight.
+    /// Time without progress while segments are in flight; zero if none are.
     #[must_use]
     pub fn stalled_for(&self, now: Instant) -> Duration {
         if self.segments.is_empty() {
@@ -93,7 +94,7 @@
         }
     }
 
-    fn restart(&mut self, now: Instant) {
+    fn restart_timer(&mut self, now: Instant) {
         self.backoff = self.rto;
         self.next_resend = (!self.segments.is_empty()).then(|| now + self.rto);
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,75 +1,70 @@
-//! The packets between fabric, balancers and agents, and their codec.
+//! Wire format of the packets between fabric, balancers and agents: one
+//! `postcard`-encoded UDP datagram per packet.
 //!
-//! A caller's TCP connection is a flow. The fabric cuts what the caller sends
-//! into [`Packet`]s and hands each to any balancer; agents answer the fabric
-//! directly with [`Reply`]s (direct return). Both travel as one UDP datagram
-//! each, encoded with `postcard`.
-//!
-//! After a flow is accepted, every packet carries its [`Owner`]: the address
-//! of the agent that accepted it and that agent's nonce, echoed the way TCP
-//! echoes the server's initial sequence number. Any balancer can then deliver
-//! the packet without per-flow state and whatever its view of the targets.
+//! The fabric splits a caller's TCP connection into [`Packet`]s and sends each to any
+//! balancer; agents return [`Reply`]s to the fabric directly (direct server return).
+//! Once a flow is accepted, its packets name the [`Owner`], so that any balancer can
+//! forward them without per-flow state and whatever its list of targets.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram body the fabric sends, in bytes.
+/// Most caller bytes in one packet.
 pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// What a packet from the fabric does to its flow.
+/// Type of a [`Packet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PacketKind {
-    /// Asks for a new flow; carries no bytes, like a TCP SYN. `seq` counts
-    /// the tries.
+    /// Opens a flow, without data, like a TCP SYN. `seq` is the number of the attempt.
     Open,
-    /// Carries caller bytes at position `seq`.
+    /// Carries caller data; `seq` counts data packets from 1.
     Data,
-    /// The caller has finished sending; `seq` is one past the last data.
+    /// The caller has finished sending; `seq` is one past the last data packet.
     Close,
-    /// Carries no bytes, only the acknowledgement in `ack`.
+    /// Carries only the acknowledgement in `ack`.
     Ack,
-    /// The caller abandons the flow; the agent frees it.
+    /// The caller aborts the flow.
     Reset,
 }
 
-/// One packet from the fabric towards an agent, through a balancer.
+/// A packet from the fabric to an agent, forwarded by a balancer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Packet {
-    /// Flow identifier chosen by the fabric, hashed by the balancers.
+    /// Flow identifier chosen by the fabric; balancers hash it.
     pub flow: u64,
-    /// The caller-facing port, which names the profile.
+    /// Port that the caller connected to; selects the profile.
     pub port: u16,
-    /// What the packet does.
+    /// Type of the packet.
     pub kind: PacketKind,
-    /// Sequence number: the try for `Open`, then 1, 2, ... for data.
+    /// Sequence number, as described for each [`PacketKind`].
     pub seq: u32,
-    /// Every answer below this position has reached the caller.
+    /// Cumulative acknowledgement: the caller has received every reply below it.
     pub ack: u32,
-    /// The agent that accepted the flow; [`Owner::NONE`] before that.
+    /// Agent that accepted the flow, or [`Owner::NONE`].
     pub owner: Owner,
-    /// Where the agent sends its replies.
+    /// Address that the agent sends its replies to.
     #[serde(rename = "reply")]
     pub reply_to: SocketAddr,
-    /// For `Open`: the agents it is offered to, as the balancer picked them.
+    /// For an open, the agents that the balancer chose to offer it to.
     pub offer: Option<Offer>,
-    /// Caller bytes.
+    /// Caller data.
     pub body: Vec<u8>,
 }
 
-/// An open as offered to one or two agents.
+/// Offer of a new flow to one or two agents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The agent asked first.
+    /// Agent that decides first.
     pub first: SocketAddrV4,
-    /// The other candidate, if the service has a second target.
+    /// The other candidate, if there is one.
     pub second: Option<SocketAddrV4>,
-    /// How far the offer has come.
+    /// Progress of the offer.
     pub stage: OfferStage,
 }
 
 impl Offer {
-    /// The agent that is to decide next.
+    /// Agent that decides next.
     #[must_use]
     pub fn next_agent(&self) -> SocketAddrV4 {
         match self.stage {
@@ -78,79 +73,79 @@
         }
     }
 
-    /// The candidate that is not to decide next.
+    /// The candidate that does not decide next, if there are two.
     #[must_use]
     pub fn other_agent(&self) -> Option<SocketAddrV4> {
         if self.next_agent() == self.first { self.second } else { Some(self.first) }
     }
 }
 
-/// How far an offer has come.
+/// Progress of an [`Offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OfferStage {
-    /// The first takes the flow if it may.
+    /// The first agent accepts the flow if it can.
     Take,
-    /// The first may ask the second to compare loads.
+    /// The first agent accepts the flow or asks the second one to compare loads.
     Ask,
-    /// The second takes the flow if its load is below the first's.
+    /// The second agent accepts the flow if its load is clearly below the first's.
     Compare {
-        /// The first's load; `u32::MAX` when it may not take the flow.
+        /// Load of the first agent; `u32::MAX` if it cannot accept the flow.
         load: u32,
     },
-    /// Back at the first, which takes the flow if it may.
+    /// Back at the first agent, which accepts the flow if it can.
     Last,
 }
 
-/// What a reply from an agent tells the fabric.
+/// Type and content of a [`Reply`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplyKind {
-    /// The flow is accepted by the agent named in the reply's owner.
+    /// The reply's owner accepted the flow.
     Accept,
-    /// Every packet below `next` has reached the target.
+    /// Cumulative acknowledgement of the caller's packets.
     Ack {
-        /// Next sequence number the agent waits for.
+        /// Sequence number that the agent expects next.
         next: u32,
     },
-    /// Target bytes at position `seq` (counted from 0).
+    /// Carries target data.
     Data {
-        /// Position of this piece among the flow's answers.
+        /// Sequence number, counted from 0.
         seq: u32,
-        /// Target bytes.
+        /// Target data.
         body: Vec<u8>,
     },
-    /// The target has finished; `seq` is one past the last answer.
+    /// The target has finished sending.
     Close {
-        /// One past the last answer's position.
+        /// One past the last data reply.
         seq: u32,
-        /// Whether the target ended in order; if not, the caller must see a
-        /// reset, so that a cut answer does not look whole.
+        /// Whether the target closed in order. Otherwise the caller's connection has to
+        /// be reset, so that a truncated answer does not look complete.
         clean: bool,
     },
-    /// The flow was not taken and nothing of it ran; the whole answer for the
-    /// caller.
+    /// The flow was refused and the target received nothing of it.
     Refuse {
-        /// HTTP answer that says so.
+        /// Complete HTTP response for the caller.
         body: Vec<u8>,
     },
-    /// The agent holds no such flow.
+    /// The agent does not hold the flow.
     Reset,
 }
 
-/// One reply from an agent straight to the fabric.
+/// A reply from an agent directly to the fabric.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// The flow it belongs to.
+    /// Flow that it belongs to.
     pub flow: u64,
-    /// The caller-facing port of that flow.
+    /// Port that the caller connected to.
     pub port: u16,
-    /// The agent that sends it.
+    /// Agent that sends it.
     pub owner: Owner,
-    /// What it says.
+    /// Type and content.
     #[serde(rename = "answer")]
     pub kind: ReplyKind,
 }
 
-/// An agent's identity on a flow: its IPv4 address and port and a nonce.
+/// The agent that owns a flow, as IPv4 address, port and nonce. The fabric echoes it in
+/// every later packet, as TCP echoes the server's sequence number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display,
 )]
@@ -158,17 +153,17 @@
 pub struct Owner(pub u64);
 
 impl Owner {
-    /// No owner yet.
+    /// No agent has accepted the flow yet.
     pub const NONE: Self = Self(0);
 
-    /// Packs an agent address and a nonce.
+    /// Packs the agent's address and its nonce.
     #[must_use]
     pub const fn new(addr: SocketAddrV4, nonce: u16) -> Self {
         let ip = u32::from_be_bytes(addr.ip().octets()) as u64;
         Self(ip << 32 | (addr.port() as u64) << 16 | nonce as u64)
     }
 
-    /// The agent's address, or `None` for [`Owner::NONE`].
+    /// Address of the agent; `None` for [`Owner::NONE`].
     #[must_use]
     pub const fn addr(self) -> Option<SocketAddrV4> {
         if self.0 == 0 {
@@ -179,20 +174,20 @@
     }
 }
 
-/// Encodes a packet or reply into one datagram.
+/// Encodes a [`Packet`] or [`Reply`].
 ///
 /// # Errors
 ///
-/// Fails only when the value cannot be encoded, which the types here rule out.
+/// Does not fail for the types of this module.
 pub fn encode<T: Serialize>(value: &T) -> anyhow::Result<Vec<u8>> {
     Ok(postcard::to_stdvec(value)?)
 }
 
-/// Decodes one datagram.
+/// Decodes a datagram as a [`Packet`] or [`Reply`].
 ///
 /// # Errors
 ///
-/// Fails when the bytes are not a value of that type.
+/// Fails if the bytes are not a valid value of that type.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> anyhow::Result<T> {
     Ok(postcard::from_bytes(bytes)?)
 }
