--- a/tests/bus_numbers.rs
+++ b/tests/bus_numbers.rs
@@ -1,5 +1,5 @@
-//! What balancers and agents of two versions say to each other while a release is
-//! rolled out: a word keeps its number, so that none is taken for another one.
+//! Encoded numbers of messages and statuses stay the same, so that balancers and agents
+//! of two releases understand each other during a rollout.
 
 mod common;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn words_keep_numbers() {
+fn statuses_keep_numbers() {
     let statuses = [
         FlowStatus::Held,
         FlowStatus::Unknown,
@@ -25,9 +25,9 @@
     ];
     for (n, status) in statuses.into_iter().enumerate() {
         let mut buf = Vec::new();
-        let note = FlowUpdate { flow: flow(1), status, load: 0 };
-        encode(&Message::FlowUpdate(note), &[], &mut buf).unwrap();
-        let plain = FlowUpdate { status: FlowStatus::Held, ..note };
+        let update = FlowUpdate { flow: flow(1), status, load: 0 };
+        encode(&Message::FlowUpdate(update), &[], &mut buf).unwrap();
+        let plain = FlowUpdate { status: FlowStatus::Held, ..update };
         let mut held = Vec::new();
         encode(&Message::FlowUpdate(plain), &[], &mut held).unwrap();
         let at = buf.iter().zip(&held).position(|(a, b)| a != b);
@@ -37,9 +37,9 @@
 
 #[test]
 fn messages_keep_numbers() {
-    let note = FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
+    let update = FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
     let numbers = [
-        Message::FlowUpdate(note),
+        Message::FlowUpdate(update),
         Message::Response { answers: Vec::new(), load: 0 },
         Message::Hint { flow: flow(1), agent: agent(1) },
         Message::Ping { listed: true },
--- a/tests/packet_head.rs
+++ b/tests/packet_head.rs
@@ -1,5 +1,5 @@
-//! The head of packets: the bytes that the platform's page gives, lengths,
-//! resets, and no input that ends the process.
+//! Packet header codec: documented byte layout, length checks, resets, and no panic on
+//! arbitrary input.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn golden_bytes() {
+fn documented_byte_layout() {
     let seg = packet::decode(&SYN).unwrap();
     assert!(seg.opens_flow());
     assert_eq!(seg.flow_from_caller(), flow());
@@ -37,32 +37,32 @@
 }
 
 #[test]
-fn bounced_cleared() {
-    let mut given_back = SYN;
-    given_back[0] |= 2;
-    assert!(packet::decode(&given_back).unwrap().flags.bounced);
-    packet::clear_bounced(&mut given_back);
-    assert_eq!(given_back, SYN, "nothing else changes");
+fn clear_bounced_changes_one_flag() {
+    let mut returned = SYN;
+    returned[0] |= 2;
+    assert!(packet::decode(&returned).unwrap().flags.bounced);
+    packet::clear_bounced(&mut returned);
+    assert_eq!(returned, SYN, "no other bit changes");
     packet::clear_bounced(&mut []);
 }
 
 #[test]
-fn wrong_lengths() {
+fn wrong_length_rejected() {
     assert_eq!(packet::decode(&SYN[..HEAD - 1]), Err(Malformed::Short));
     let mut long = SYN.to_vec();
     long.push(0);
     assert_eq!(packet::decode(&long), Err(Malformed::Length));
-    let mut most = SYN.to_vec();
-    most[6..8].copy_from_slice(&(MAX_DATA as u16).to_be_bytes());
-    most.resize(HEAD + MAX_DATA, 0);
-    assert_eq!(usize::from(packet::decode(&most).unwrap().len), MAX_DATA);
-    most[6..8].copy_from_slice(&(MAX_DATA as u16 + 1).to_be_bytes());
-    most.push(0);
-    assert_eq!(packet::decode(&most), Err(Malformed::Length));
+    let mut longest = SYN.to_vec();
+    longest[6..8].copy_from_slice(&(MAX_DATA as u16).to_be_bytes());
+    longest.resize(HEAD + MAX_DATA, 0);
+    assert_eq!(usize::from(packet::decode(&longest).unwrap().len), MAX_DATA);
+    longest[6..8].copy_from_slice(&(MAX_DATA as u16 + 1).to_be_bytes());
+    longest.push(0);
+    assert_eq!(packet::decode(&longest), Err(Malformed::Length));
 }
 
 #[test]
-fn any_bytes() {
+fn arbitrary_bytes_do_not_panic() {
     let mut rng = StdRng::seed_from_u64(20_261_202);
     for _ in 0..20_000 {
         let mut bytes = vec![0; rng.random_range(0..1_400)];
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -1,5 +1,5 @@
-//! The two halves of ordered delivery: every piece is taken once and in
-//! order, whatever is lost, doubled or reordered between them.
+//! Ordered delivery: every segment is delivered once and in order, despite loss,
+//! duplication and reordering.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 const RTO: Duration = Duration::from_millis(200);
 
 #[test]
-fn doubled_taken_once() {
+fn duplicate_delivered_once() {
     let mut r = ReorderBuffer::new(1);
     r.insert(1, 'a');
     r.insert(1, 'b');
@@ -33,12 +33,10 @@
     assert_eq!((w.next_resend(), w.stalled_for(t0 + RTO * 9)), (None, Duration::ZERO));
 }
 
-/// Of a packet and its acknowledgement one is lost in a tenth of the tries, where
-/// a network loses 5 %. With the timeout doubled up to eight times its start, a
-/// peer that is given up after 3 s was sent four copies, and one flow in 10,000
-/// was given up while both ends lived.
+/// A segment is sent at least eight times within 3 s, so that loss on the network does
+/// not make the sender give up a live peer.
 #[test]
-fn tried_often() {
+fn resends_often_before_give_up() {
     let start = Instant::now();
     let mut w = SendWindow::new(Duration::from_millis(200), start);
     w.push(1, "a", start);
@@ -50,7 +48,7 @@
 }
 
 #[test]
-fn random_channel_delivers() {
+fn delivers_over_lossy_channel() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = Instant::now();
@@ -69,15 +67,15 @@
                 if wire.is_empty() {
                     break;
                 }
-                let (seq, piece) = wire.swap_remove(rng.random_range(0..wire.len()));
+                let (seq, segment) = wire.swap_remove(rng.random_range(0..wire.len()));
                 match rng.random_range(0..10) {
                     0 => {}
-                    1 => wire.extend([(seq, piece); 2]),
-                    _ => r.insert(seq, piece),
+                    1 => wire.extend([(seq, segment); 2]),
+                    _ => r.insert(seq, segment),
                 }
             }
-            while let Some(piece) = r.pop() {
-                got.push(piece);
+            while let Some(segment) = r.pop() {
+                got.push(segment);
             }
             if rng.random_range(0..3) > 0 {
                 w.ack(r.next_seq(), now);
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,5 +1,5 @@
-//! The lookup table: the same list gives the same picks everywhere, a change
-//! of one target moves few flows, and flows spread evenly.
+//! Maglev table: the same list gives the same table, removing a target moves few flows,
+//! and flows are spread evenly.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn same_list_same_picks() {
+fn table_independent_of_list_order() {
     let a = MaglevTable::new(names(7));
     let mut shuffled = names(7);
     shuffled.reverse();
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn removal_moves_few() {
+fn removal_moves_few_buckets() {
     let before = MaglevTable::new(names(7));
     assert!(before.bucket_count() >= 7 * 80);
     let after = MaglevTable::new(names(7).into_iter().filter(|(_, i)| *i != 3).collect());
     let moved = before.bucket_owners().zip(after.bucket_owners()).filter(|(x, y)| x != y).count();
     let share = moved as f64 / before.bucket_count() as f64;
-    // Only meter-3's buckets (about 1/7) should move, plus a little.
+    // The buckets of meter-3, about 1/7, move, and few others.
     assert!(share < 1.0 / 7.0 + 0.03, "moved {share:.3}");
 }
 
 #[test]
-fn spread_is_even() {
+fn flows_spread_evenly() {
     let t = MaglevTable::new(names(7));
     let mut counts: HashMap<Arc<str>, u32> = HashMap::new();
     for flow in 0..70_000u64 {
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn empty_picks_none() {
+fn empty_table_has_no_entry() {
     let t: MaglevTable<usize> = MaglevTable::new(Vec::new());
     assert!(t.lookup(1).is_none());
 }
 
 #[test]
-fn pair_differs() {
+fn pair_has_distinct_entries() {
     let t = MaglevTable::new(names(7));
     let mut counts = [0u32; 7];
     for flow in 0..7_000 {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn size_grows_with_list() {
+fn size_grows_with_entries() {
     let size = |n| MaglevTable::new(names(n)).bucket_count();
     assert_eq!((size(1), size(25), size(26), size(409)), (2_039, 2_039, 32_749, 32_749));
 }
