--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,7 +1,7 @@
 //! The product's roles on the users' platform: the balancer on an entry VM
 //! ([`entry`]) and the agent beside a target ([`sidecar`]). They own sockets,
 //! clocks and the store; what to do with a packet is decided by
-//! [`crate::steer`] and [`crate::hold`].
+//! [`crate::steer`] and [`crate::tracker`].
 
 mod announce;
 pub mod entry;
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
 //! A site without a network: the product's own decisions ([`crate::steer`],
-//! [`crate::hold`]) between modelled callers, routers, targets, links and
+//! [`crate::tracker`]) between modelled callers, routers, targets, links and
 //! processors, on a virtual clock.
 //!
 //! One seed gives one run. [`pattern`] names the loads and troubles, and
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -16,7 +16,7 @@
     /// incarnation or state.
     ///
     /// A new incarnation keeps the tracked flows, as it may have opened some before its
-    /// first report. The target returns packets of its predecessor's flows as bounced.
+    /// first report. The target returns packets of the previous incarnation's flows.
     pub fn handle_report(&mut self, report: Report, now: Instant) -> bool {
         if let Some(reason) = self.ignore_reason(&report, now) {
             metrics::dropped(reason);
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records that the target sent on a flow that this process did not see open, so
-    /// that the previous process did not miss the target's start.
+    /// Records that the target sent on a flow that this process did not see open, which
+    /// shows that the previous process did not miss the target's start.
     pub(super) fn mark_inherited(&mut self) {
         self.inherited = true;
         if let Some(t) = &mut self.target {
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -67,11 +67,11 @@
     answer_times: metrics::Answers,
     /// Until when the target counts as full, after it returned an open.
     full_until: Option<Instant>,
-    /// When opens without an answer no longer count as waiting.
+    /// When flows that are not established no longer count as waiting.
     pending_opens: TimerQueue,
     /// When opens without an answer are forgotten.
     unanswered_opens: TimerQueue,
-    /// When flows without an answer no longer count as waiting.
+    /// When requests without an answer no longer count as waiting.
     pending_work: TimerQueue,
     /// When closed flows are forgotten.
     closed_flows: TimerQueue,
@@ -89,7 +89,8 @@
     newly_listed: bool,
     /// Whether the agent has told a balancer that its target ended.
     end_announced: bool,
-    /// When the target first reported since the agent was `newly_listed`.
+    /// When the target's first report arrived; set anew by the first report after an
+    /// announced end.
     first_report: Option<Instant>,
     /// When to probe the target's port, unless a packet or report of the target arrives
     /// earlier.
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -130,8 +130,8 @@
             }
             return;
         };
-        let before = tracked.phase;
-        tracked.phase = match before {
+        let previous = tracked.phase;
+        tracked.phase = match previous {
             FlowPhase::Opening { .. } | FlowPhase::Answered(_) if seg.flags.syn => {
                 FlowPhase::Answered(seg.seq)
             }
@@ -139,7 +139,7 @@
             other => other,
         };
         tracked.target_answered = true;
-        let changed = tracked.phase != before;
+        let changed = tracked.phase != previous;
         let reply_to = tracked.reply_to;
         tracked.target_done |= seg.flags.fin;
         let over = seg.flags.rst || tracked.is_finished();
