--- a/src/policy/agent.rs
+++ b/src/policy/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent goes by.
+//! Timeouts and limits of an agent.
 
 use std::time::Duration;
 
@@ -7,73 +7,55 @@
 
 use super::millis;
 
-/// What an agent goes by. Times are in milliseconds in settings.
+/// Settings of an agent. Durations are in milliseconds in the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AgentPolicy {
-    /// How long an open is remembered without an answer of the target: callers
-    /// give it up after 1.4 s.
-    #[serde(with = "millis")]
-    #[serde(rename = "open_kept")]
+    /// How long an open without an answer of the target is remembered. Beyond the
+    /// caller's connect timeout, a larger value has no effect.
+    #[serde(rename = "open_kept", with = "millis")]
     pub open_ttl: Duration,
-    /// How long an open counts as waiting work before the caller's first packet
-    /// after it: a handshake takes some 5 ms. After an outage many of the opens
-    /// that are carried have been given up by their callers; counted for longer,
-    /// they would make idle targets look busy.
-    #[serde(with = "millis")]
-    #[serde(rename = "open_wait")]
+    /// How long an open counts as load while the caller has not completed the
+    /// handshake. With a larger value, opens whose callers have given up make an idle
+    /// target look busy.
+    #[serde(rename = "open_wait", with = "millis")]
     pub handshake_timeout: Duration,
-    /// How long a flow counts as waiting for its target's answer at most: a full
-    /// queue of a target that is five times as slow takes 1.4 s. An answer that
-    /// the agent did not see (it was restarted) must not count for ever.
-    #[serde(with = "millis")]
-    #[serde(rename = "longest_work")]
+    /// How long a request without an answer counts as load. It bounds the error when
+    /// the agent restarted and missed the answer.
+    #[serde(rename = "longest_work", with = "millis")]
     pub request_timeout: Duration,
-    /// Requests that may wait for a slot before opens are declined, in slots: a
-    /// queue as long as the slots makes a request take twice its work.
+    /// Requests that may queue for a slot before opens are declined, as a multiple of
+    /// the slots.
     #[serde(rename = "queue")]
     pub queue_ratio: f64,
-    /// The same for opens that have waited long themselves.
+    /// The same limit for opens that balancers mark as aged.
     #[serde(rename = "aged_queue")]
     pub aged_queue_ratio: f64,
-    /// How long a target that gave an open back is offered none: it is full, or
-    /// its process is over, which trying its port shows meanwhile.
-    #[serde(with = "millis")]
-    #[serde(rename = "full")]
+    /// How long a target that bounced an open is offered none.
+    #[serde(rename = "full", with = "millis")]
     pub full_pause: Duration,
-    /// How long a flow that ended is remembered, so that late packets still
-    /// reach its target: twice the ends' longest pause between copies (1.6 s).
-    #[serde(with = "millis")]
-    #[serde(rename = "closed")]
+    /// How long a closed flow is remembered, as in TCP's `TIME_WAIT`, so that late
+    /// retransmissions still reach its target.
+    #[serde(rename = "closed", with = "millis")]
     pub closed_ttl: Duration,
-    /// How long a target that no longer reports keeps its flows after it said
-    /// that it ends: it may still send its last packets.
-    #[serde(with = "millis")]
-    #[serde(rename = "ending")]
+    /// How long a target that announced its shutdown and no longer reports keeps its
+    /// flows, to send its last packets.
+    #[serde(rename = "ending", with = "millis")]
     pub shutdown_grace: Duration,
-    /// How long an agent that the store did not list before takes no flow after
-    /// its target's first report, on which it lists itself. Balancers look at
-    /// the store again 0.3 s after a change, so some see the agent that much
-    /// later than the first; asked for a flow that it took meanwhile, they would
-    /// find that no agent they know holds it, and reset it. The rest is for the
-    /// write and the watch.
-    #[serde(with = "millis")]
-    #[serde(rename = "seen")]
+    /// How long a newly listed agent takes no flow after its target's first report.
+    /// It should exceed the time in which every balancer reads the listing: one that
+    /// does not know the agent would reset the agent's flows as lost.
+    #[serde(rename = "seen", with = "millis")]
     pub announce_delay: Duration,
-    /// Silence after an open was handed to the target before its port is tried:
-    /// a handshake takes 0.3 ms, and a balancer offers the flow elsewhere after
-    /// 40.
-    #[serde(with = "millis")]
-    #[serde(rename = "silent_open")]
+    /// Silence of the target after an open before its port is probed.
+    #[serde(rename = "silent_open", with = "millis")]
     pub open_probe_delay: Duration,
-    /// Silence after a request was handed to the target before its port is
-    /// tried: longer than a request takes, and a busy target answers others
-    /// meanwhile.
-    #[serde(with = "millis")]
-    #[serde(rename = "silent_work")]
+    /// Silence of the target after a request before its port is probed. It should
+    /// exceed the duration of a request.
+    #[serde(rename = "silent_work", with = "millis")]
     pub request_probe_delay: Duration,
-    /// Whether the agent remembers to whom it passed opens on, and says so when
-    /// asked for their owner.
+    /// Whether the agent remembers which agent it passed an open to, and names it
+    /// when it is queried for the flow's owner.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,4 +1,4 @@
-//! What a balancer goes by.
+//! Timeouts, budgets and limits of a balancer.
 
 use std::time::Duration;
 
@@ -7,116 +7,95 @@
 
 use super::millis;
 
-/// Bytes of a typical question to an agent, with its heads: a flow and some
-/// neighbours that are asked for at the same moment.
+/// Size of a typical query datagram, headers included, in bytes.
 const QUERY_BYTES: f64 = 120.0;
 
-/// Part of a VM's link that questions may take.
+/// Share of a VM's link bandwidth that queries may use.
 const QUERY_LINK_SHARE: f64 = 0.1;
 
-/// Questions a second on a whole core: what they cost leaves most of it to callers.
+/// Queries a second that one whole core may spend its time on.
 const CORE_QUERY_RATE: f64 = 8_000.0;
 
-/// What a balancer goes by. Times are in milliseconds in settings.
+/// Settings of a balancer. Durations are in milliseconds in the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalancerPolicy {
-    /// How long agents have at least to say what became of an open or of a
-    /// flow: another pair can be tried before the caller sends a copy.
-    #[serde(with = "millis")]
-    #[serde(rename = "answer")]
+    /// Lower bound of the adaptive response timeout for agents. Below a caller's
+    /// retransmission timeout, another agent is tried before the caller retransmits.
+    #[serde(rename = "answer", with = "millis")]
     pub min_timeout: Duration,
-    /// How long they have at most, however slowly they have been answering and
-    /// however often an open was offered.
-    #[serde(with = "millis")]
-    #[serde(rename = "slowest")]
+    /// Upper bound of the response timeout, backoff included.
+    #[serde(rename = "slowest", with = "millis")]
     pub max_timeout: Duration,
-    /// Pause before an open is offered to the same agents again: their targets
-    /// are starting, or the store is listing them anew.
-    #[serde(with = "millis")]
-    #[serde(rename = "round")]
+    /// Delay before an open that every agent turned down is offered again.
+    #[serde(rename = "round", with = "millis")]
     pub retry_delay: Duration,
-    /// Longest such pause; they double from `retry_delay` on. The same as `retry_delay`
-    /// switches the growth off.
-    #[serde(with = "millis")]
-    #[serde(rename = "longest_round")]
+    /// Upper bound of that delay, which doubles with each round. Equal to
+    /// `retry_delay`, it keeps the delay constant.
+    #[serde(rename = "longest_round", with = "millis")]
     pub max_retry_delay: Duration,
-    /// Agents that an open is offered to in one round while they are busy: with
-    /// more, an overload would be answered by a flood of offers.
+    /// Agents offered an open in one round while they answer that they are busy.
+    /// A larger value multiplies the messages during an overload.
     #[serde(rename = "busy_offers")]
     pub max_busy_offers: usize,
-    /// Agents that an open is offered to in one round at most, so that its cost
-    /// does not grow with the service.
+    /// Agents offered an open in one round, whatever the size of the service.
     #[serde(rename = "most_offers")]
     pub max_offers: usize,
-    /// An open older than this gives way to newer ones at a busy target: it is
-    /// late whatever is done for it, the newer ones need not be.
-    #[serde(with = "millis")]
-    #[serde(rename = "aged")]
+    /// Age from which an open yields to newer ones at a busy target.
+    #[serde(rename = "aged", with = "millis")]
     pub aged_after: Duration,
-    /// How long an open is offered: its caller gives it up after 1.4 s.
-    #[serde(with = "millis")]
-    #[serde(rename = "patience")]
+    /// How long an open is offered before it is refused. Beyond the caller's own
+    /// connect timeout, a larger value has no effect.
+    #[serde(rename = "patience", with = "millis")]
     pub open_timeout: Duration,
-    /// Further offers of opens that the budget gains with each new open, and
-    /// those it gains a second for each agent known. Without a bound an answer
-    /// that is late by its queue is answered by more offers, which lengthen the
-    /// queue.
+    /// Retry tokens added by each open received. Each retry of an open takes one token,
+    /// so that retries stay a bounded fraction of the load.
     #[serde(rename = "retry_share")]
     pub retry_ratio: f64,
-    /// See `retry_ratio`: a second, for each agent known.
+    /// Retry tokens added a second for each known agent.
     pub retry_rate: f64,
-    /// Further offers that may come at once.
+    /// Capacity of the bucket of retry tokens.
     pub retry_burst: f64,
-    /// How many agents are asked for a flow's owner at first, then, and so on;
-    /// after these all others at once. Empty: all at once. The first is the
-    /// flow's home, which took it or knows who did, the next are those whose
-    /// home it was before agents came or went.
+    /// Agents queried for a flow's owner in the first, second and later waves; all
+    /// that are left follow in one last wave. Empty: all at once. The first wave
+    /// should reach the flow's home agent, the next its earlier home agents.
     #[serde(rename = "waves")]
     pub wave_sizes: Vec<usize>,
-    /// Questions to agents a second that a balancer sends at most, on a VM that
-    /// has a quarter of a core and a link that is not narrow.
+    /// Query datagrams sent a second at most, before [`Self::scaled_to_vm`].
     #[serde(rename = "asks")]
     pub query_rate: f64,
-    /// Questions that may go out at once.
+    /// Query datagrams sent at once at most.
     #[serde(rename = "ask_burst")]
     pub query_burst: f64,
-    /// Packets of one flow that are kept while its owner is asked for: what a
-    /// caller has in flight at most.
+    /// Packets buffered for one flow while its owner is searched for.
     #[serde(rename = "kept_packets")]
     pub buffer_packets: usize,
-    /// Bytes of all packets that are kept.
+    /// Bytes buffered for all flows together.
     #[serde(rename = "kept_bytes")]
     pub buffer_bytes: usize,
-    /// Whether a flow's home is told of an owner that it cannot know.
+    /// Whether a flow's home agent is told which other agent owns the flow.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
-    /// Targets that are tried at first for a flow that no agent knows; where the
-    /// flow's own target may not be among those left, they are the only ones.
-    /// Each trial is a packet at a target that may not hold the flow, and the
-    /// platform counts a flow as misrouted once three have reached others, and
-    /// none its own, for 2 s or more, however long the pause between them.
+    /// Targets that a packet of a flow without a known owner is tried at first. Where
+    /// the owner may not be among the remaining agents, no others are tried, since
+    /// each trial may reach a wrong target.
     #[serde(rename = "trials")]
     pub max_trials: usize,
-    /// How long an agent of the service that does not answer holds up trials:
-    /// it may be the flow's own, and one that is killed or stopped as planned
-    /// is back within 1 s.
-    #[serde(with = "millis")]
-    #[serde(rename = "restart")]
+    /// How long a silent agent delays trials, because it may own the flow and be
+    /// restarting.
+    #[serde(rename = "restart", with = "millis")]
     pub restart_wait: Duration,
-    /// How long after the store's return an agent may still be missing from it:
-    /// the platform says about 2 s.
-    #[serde(with = "millis")]
-    #[serde(rename = "relisted")]
+    /// How long after the store is reachable again live agents may still be missing
+    /// from it.
+    #[serde(rename = "relisted", with = "millis")]
     pub relist_grace: Duration,
-    /// Most packets kept until a configuration is known.
+    /// Packets queued until the first configuration arrives.
     #[serde(rename = "parked")]
     pub max_parked: usize,
-    /// How often it is looked whether a configuration has come.
-    #[serde(with = "millis")]
-    #[serde(rename = "unpark")]
+    /// Interval at which queued packets are checked against the configuration.
+    #[serde(rename = "unpark", with = "millis")]
     pub unpark_interval: Duration,
-    /// When agents are suspected.
+    /// Failure detection of agents.
     #[serde(alias = "doubt")]
     pub suspicion: SuspicionPolicy,
 }
@@ -152,13 +131,13 @@
 }
 
 impl BalancerPolicy {
-    /// The figures for a VM with a link of `mbps` megabits a second and `cpu`
-    /// of a core: what is asked must not take what callers need.
+    /// Lowers the query and ping rates to what a VM with a link of `mbps` Mbit/s and
+    /// `cpu` cores can spare beside its callers' traffic.
     #[must_use]
     pub fn scaled_to_vm(mut self, mbps: f64, cpu: f64) -> Self {
         let link = mbps * 125_000.0 * QUERY_LINK_SHARE / QUERY_BYTES;
         self.query_rate = self.query_rate.min(link).min(CORE_QUERY_RATE * cpu);
-        // Positive and far below the type's limit.
+        // The rate is positive and far below `u32::MAX`.
         let pings = (self.query_rate * PING_SHARE).max(1.0) as u32;
         self.suspicion.ping_rate = self.suspicion.ping_rate.min(pings);
         self
@@ -205,44 +184,36 @@
     }
 }
 
-/// Part of the questions' rate that questions to suspected agents may take.
+/// Share of the query rate that pings may use.
 const PING_SHARE: f64 = 0.25;
 
-/// When a balancer suspects an agent to be dead.
+/// When a balancer suspects an agent and when it takes it for dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SuspicionPolicy {
-    /// Pause between two questions to an agent that is not listed or did not
+    /// Interval between two pings to one suspected agent: it is unlisted or did not
     /// answer.
-    #[serde(with = "millis")]
-    #[serde(rename = "ping")]
+    #[serde(rename = "ping", with = "millis")]
     pub ping_interval: Duration,
-    /// Questions a second to all such agents at most. Where more are due (a data
-    /// centre is dark, the store let all leases lapse), they take turns: without a
-    /// bound, 23,000 agents would be asked 77,000 times a second by each balancer.
+    /// Pings a second to all suspected agents together. If more are due, the agents
+    /// pinged least recently come first.
     #[serde(rename = "pings")]
     pub ping_rate: u32,
-    /// How long an agent that the store does not list is kept without an answer:
-    /// one that lives is listed again about 2 s after the store is back, and one
-    /// whose process was killed stays listed, as its lease lasts longer.
-    #[serde(with = "millis")]
-    #[serde(rename = "keep")]
+    /// How long an unlisted agent that does not answer is kept. It should exceed the
+    /// time in which live agents are listed again after an outage of the store.
+    #[serde(rename = "keep", with = "millis")]
     pub unlisted_timeout: Duration,
-    /// How long an agent is silent before the flows at its target are given up:
-    /// a process that is killed or stopped as planned is back within 1 s, and
-    /// after 4 s the platform takes a VM that does not answer as out of touch.
-    #[serde(with = "millis")]
-    #[serde(alias = "gone")]
+    /// Silence after which an agent's flows are treated as lost. It should exceed the
+    /// time of a planned restart.
+    #[serde(alias = "gone", with = "millis")]
     pub dead_after: Duration,
-    /// How long an agent's word that it can take nothing counts. It is asked
-    /// again by being offered a flow, so this bounds offers that come to nothing.
-    #[serde(with = "millis")]
-    #[serde(rename = "unable")]
+    /// How long an agent's report that it can take no flow counts; afterwards it is
+    /// offered flows again.
+    #[serde(rename = "unable", with = "millis")]
     pub unable_ttl: Duration,
-    /// An agent that was heard within this is not taken as silent for one
-    /// question without an answer: the time that an answer takes.
-    #[serde(with = "millis")]
-    #[serde(rename = "heard")]
+    /// A missed answer does not make an agent silent if it was heard from within this
+    /// time.
+    #[serde(rename = "heard", with = "millis")]
     pub silence_grace: Duration,
 }
 
--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -1,64 +1,64 @@
-//! Mechanisms that can be switched off one by one, to see what each is worth.
+//! Mechanisms that an experiment can disable one at a time to measure their effect.
 
 use std::time::Duration;
 
 use super::Policy;
 
-/// A rate or burst without a bound, in events or events a second.
+/// A rate (a second) or burst too large ever to limit anything.
 const UNBOUNDED: f64 = 1e8;
 
-/// One mechanism.
+/// A mechanism for load or failures that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum, derive_more::Display)]
 pub enum Mechanism {
-    /// Agents are asked for a flow's owner a few at a time.
+    /// Agents are queried for a flow's owner in waves instead of all at once.
     #[display("waves")]
     Waves,
-    /// A flow's home knows its owner.
+    /// A flow's home agent is told which agent owns the flow.
     #[display("hints")]
     Hints,
-    /// Questions to agents are bounded.
+    /// Queries to agents are rate-limited.
     #[display("ask-budget")]
     AskBudget,
-    /// Further offers of opens are bounded.
+    /// Retries of opens are rate-limited.
     #[display("retry-budget")]
     RetryBudget,
-    /// Timeouts follow measured round trips and double.
+    /// Response timeouts adapt to measured round trips and back off exponentially.
     #[display("backoff")]
     Backoff,
-    /// Opens are declined while a target's queue is long.
+    /// Opens are declined while a target's request queue is long.
     #[display("short-queue")]
     ShortQueue,
-    /// Opens that have waited long give way to newer ones.
+    /// Aged opens yield to newer ones at a busy target.
     #[display("aging")]
     Aging,
-    /// Opens are offered again for a while instead of refused at once.
+    /// Opens are retried for a while instead of refused at once.
     #[display("patience")]
     Patience,
-    /// Packets are kept until a configuration is known.
+    /// Packets are queued until the first configuration arrives.
     #[display("parking")]
     Parking,
-    /// Packets are kept while their flows' owners are asked for.
+    /// Packets are buffered while their flows' owners are searched for.
     #[display("keeping")]
     Keeping,
-    /// Targets of agents that may have forgotten a flow are tried.
+    /// Packets of a flow without a known owner are tried at targets.
     #[display("trials")]
     Trials,
-    /// No trials while an agent restarts.
+    /// Trials wait for agents that may be restarting.
     #[display("restart-wait")]
     RestartWait,
-    /// A target that gave an open back is left alone for a while.
+    /// A target that bounced an open is offered none for a while.
     #[display("full-pause")]
     FullPause,
-    /// An open counts as waiting work for a short time only.
+    /// An open without a completed handshake stops counting as load early.
     #[display("short-open-wait")]
     ShortOpenWait,
-    /// A new agent takes no flow before all balancers can know it.
+    /// A new agent takes no flow until every balancer can have read its listing.
     #[display("newcomer-wait")]
     NewcomerWait,
 }
 
 impl Mechanism {
-    /// Switches it off in `policy`.
+    /// Disables the mechanism in `policy`.
     pub fn disable(self, policy: &mut Policy) {
         let (balancer, agent) = (&mut policy.balancer, &mut policy.agent);
         match self {
--- a/src/policy/millis.rs
+++ b/src/policy/millis.rs
@@ -1,4 +1,4 @@
-//! Durations as whole milliseconds in settings.
+//! Serde representation of durations as whole milliseconds.
 
 use std::time::Duration;
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Every figure and mechanism that decides under load and trouble, in one
-//! place: what a balancer ([`BalancerPolicy`]) and an agent ([`AgentPolicy`]) go by.
+//! Tunable timeouts, budgets and limits of balancers ([`BalancerPolicy`]) and agents
+//! ([`AgentPolicy`]).
 //!
-//! All have defaults, so that settings name only what differs; each can be
-//! varied alone, which is how `jujubepost experiment` measures its worth.
+//! Every field has a default, so settings name only what differs. `jujubepost
+//! experiment` measures the effect of changing a field or disabling a [`Mechanism`].
 
 mod agent;
 mod balancer;
@@ -14,24 +14,24 @@
 pub use mechanism::Mechanism;
 use serde::{Deserialize, Serialize};
 
-/// What both go by.
+/// Settings of both roles.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// A balancer's decisions.
+    /// Settings of balancers.
     #[serde(rename = "steer")]
     pub balancer: BalancerPolicy,
-    /// An agent's decisions.
+    /// Settings of agents.
     #[serde(rename = "hold")]
     pub agent: AgentPolicy,
 }
 
 impl Policy {
-    /// Checks that the figures fit together.
+    /// Checks that each field is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first field that does not.
+    /// Names the first field that is out of range.
     pub fn check(&self) -> anyhow::Result<()> {
         self.balancer.check()?;
         self.agent.check()
--- a/src/token_bucket/mod.rs
+++ b/src/token_bucket/mod.rs
@@ -1,17 +1,17 @@
-//! A token bucket: bounds work that would otherwise grow with trouble.
+//! Token bucket: limits the rate of retries, queries and pings.
 
 use std::time::{Duration, Instant};
 
-/// Slowest rate that is told from none, in tokens a second.
+/// Lower bound of a rate when computing a wait, in tokens a second.
 const MIN_RATE: f64 = 0.001;
 
-/// Longest wait, in seconds.
+/// Longest wait returned, in seconds.
 const MAX_WAIT_S: f64 = 60.0;
 
-/// Shortest wait: finer than the timers of a busy process.
+/// Shortest wait returned, so that a caller does not spin.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Tokens that come at a rate, up to a bound, and that work takes.
+/// A token bucket; the caller passes the refill rate and the clock.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -20,34 +20,34 @@
 }
 
 impl TokenBucket {
-    /// A full bucket of `most` tokens.
+    /// A full bucket.
     #[must_use]
-    pub const fn new(most: f64) -> Self {
-        Self { tokens: most, capacity: most, refilled_at: None }
+    pub const fn new(capacity: f64) -> Self {
+        Self { tokens: capacity, capacity, refilled_at: None }
     }
 
-    /// Adds what has come since the last call at `rate` tokens a second.
+    /// Adds the tokens accrued since the last call, at `rate` a second.
     pub fn refill(&mut self, rate: f64, now: Instant) {
-        let before = self.refilled_at.replace(now).unwrap_or(now);
-        self.add(rate * now.saturating_duration_since(before).as_secs_f64());
+        let last = self.refilled_at.replace(now).unwrap_or(now);
+        self.add(rate * now.saturating_duration_since(last).as_secs_f64());
     }
 
-    /// Adds tokens.
+    /// Adds `tokens`, up to the capacity.
     pub fn add(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.capacity);
     }
 
-    /// Takes a token, if there is one.
+    /// Takes one token; false if there is none.
     pub fn try_take(&mut self) -> bool {
-        let there = self.tokens >= 1.0;
-        if there {
+        let available = self.tokens >= 1.0;
+        if available {
             self.tokens -= 1.0;
         }
-        there
+        available
     }
 
-    /// How long at `rate` tokens a second until there is one; never so short
-    /// that waiting for it would be a busy loop.
+    /// Time until a token is available at `rate` tokens a second, at least a
+    /// millisecond.
     #[must_use]
     pub fn time_to_token(&self, rate: f64) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
