--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -1,9 +1,8 @@
-//! Which agent's target holds a flow that the balancer does not know.
+//! Owner lookup: finds the agent whose target holds a flow.
 //!
-//! Agents are asked in waves: first the flow's home, which took it or knows who
-//! did, then a few whose home it may have been before agents came or went, then
-//! all others. A question carries the flow's addresses, never its packets;
-//! these are kept within a bound meanwhile.
+//! Agents are queried in waves: the flow's home agent first, then a few that were its
+//! home before the set of agents changed, then all others. Queries carry only the
+//! flow's addresses; its packets are buffered meanwhile.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -15,7 +14,7 @@
 use crate::metrics::{self, Refusal, Retry};
 
 impl FlowSteering {
-    /// Has the owner of a flow found, and keeps its packet until then.
+    /// Buffers a packet and starts a search for its flow's owner, unless one is running.
     pub(super) fn search_owner(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
         let Arrival { seg, now, .. } = *arrival;
         let flow = arrival.flow();
@@ -27,30 +26,29 @@
             return;
         };
         let service = weighted.service.clone();
-        // An open whose note has not come yet: the agents that it was offered to
-        // know best.
+        // The packet overtook the notification of its open: query the agents that the
+        // open was offered to first.
         let (mut search, offered) = match self.flows.remove(flow) {
             Some(FlowState::Searching(s)) => (s, Vec::new()),
             Some(FlowState::Opening(o)) => (OwnerSearch::default(), o.offered_to),
             Some(FlowState::Owned { .. }) | None => (OwnerSearch::default(), Vec::new()),
         };
         self.buffered_bytes -= search.buffered_bytes();
-        let under_way = search.wave_deadline.is_some();
-        if !under_way {
+        let running = search.wave_deadline.is_some();
+        if !running {
             search.packets.clear();
         }
         search.buffer_packet(seg, arrival.packet, self.buffered_bytes, &self.policy);
         self.buffered_bytes += search.buffered_bytes();
-        if !under_way {
+        if !running {
             search.service = service;
             self.start_round(flow, &mut search, &offered, now);
         }
         self.flows.insert(flow, FlowState::Searching(search), now);
     }
 
-    /// Begins a round: every agent of the service is to be asked, the likeliest
-    /// first and those that do not answer last, but for those whose targets have
-    /// ended.
+    /// Starts a round of queries to the agents of the service, the likeliest owners
+    /// first and silent agents last. Agents that left with their targets are skipped.
     fn start_round(
         &mut self,
         flow: Flow,
@@ -59,12 +57,12 @@
         now: Instant,
     ) {
         let all: Vec<_> = self.roster.agents_of(&search.service).collect();
-        // Fewer than the type holds.
+        // Fits: a service has far fewer agents.
         search.agent_count = all.len() as u32;
-        let asked = all.into_iter().filter(|a| !self.roster.target_ended(*a));
-        let (answering, silent): (Vec<_>, Vec<_>) =
-            asked.partition(|a| self.roster.is_responsive(*a));
-        let mut order = self.roster.rank_by_likelihood(&answering, &self.zone, flow);
+        let candidates = all.into_iter().filter(|a| !self.roster.ended_and_silent(*a));
+        let (responsive, silent): (Vec<_>, Vec<_>) =
+            candidates.partition(|a| self.roster.is_responsive(*a));
+        let mut order = self.roster.rank_by_likelihood(&responsive, &self.zone, flow);
         order.extend(silent);
         order.sort_by_key(|a| !offered.contains(a));
         search.unqueried = order.into();
@@ -83,26 +81,27 @@
         self.query_wave(flow, search, now);
     }
 
-    /// Queries the next agents of a round.
+    /// Queues queries to the agents of the next wave.
     fn query_wave(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
             self.queries.enqueue(*agent, &search.service, search.question(flow));
         }
-        // Fewer than the type holds.
+        // Fits: a service has far fewer agents.
         search.message_count += wave.len() as u32;
         search.pending.extend(wave);
         self.start_wave_timer(flow, search, now);
     }
 
     fn start_wave_timer(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
-        let due = now + self.response_timeout();
+        let deadline = now + self.response_timeout();
         search.wave_started = Some(now);
-        search.wave_deadline = Some(due);
-        self.deadlines.push(due, flow);
+        search.wave_deadline = Some(deadline);
+        self.deadlines.push(deadline, flow);
     }
 
-    /// Takes an agent's answer to a question.
+    /// Handles an agent's answer to a query. An agent that it names as the owner is
+    /// queried next.
     pub(super) fn handle_answer(
         &mut self,
         from: SocketAddrV4,
@@ -134,6 +133,7 @@
         self.handle_denial(from, answer.flow, answer.status, now, out);
     }
 
+    /// Handles an agent's answer that its target does not, or may not, hold the flow.
     pub(super) fn handle_denial(
         &mut self,
         from: SocketAddrV4,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A wave is over: the next is asked, or the round decided.
+    /// Starts the next wave, or decides the round after the last one.
     fn advance_search(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         if !s.unqueried.is_empty() {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Some agents of the wave did not answer in time.
+    /// Marks the agents that have not answered as silent and goes on with the search.
     pub(super) fn handle_wave_timeout(
         &mut self,
         flow: Flow,
@@ -183,7 +183,7 @@
         let Some(FlowState::Searching(mut s)) = self.flows.remove(flow) else { return };
         let unsent = s.pending.iter().any(|a| self.queries.is_queued(*a, flow));
         if unsent {
-            // The budget has not allowed the question yet.
+            // The rate limit still holds some queries back: their agents are not silent.
             self.start_wave_timer(flow, &mut s, now);
             self.flows.insert(flow, FlowState::Searching(s), now);
             return;
@@ -202,7 +202,7 @@
         self.advance_search(flow, now, out);
     }
 
-    /// The owner of a flow was found: it gets the packets kept.
+    /// Forwards the buffered packets to the flow's owner `from`.
     pub(super) fn forward_buffered(
         &mut self,
         from: SocketAddrV4,
@@ -214,7 +214,7 @@
             metrics::searched(search.message_count);
         }
         if search.tried.contains(&from) {
-            // It has the last packet, which was tried at its target.
+            // The trial already delivered the last packet; the caller retransmits the rest.
             return;
         }
         let message = Message::Carry { service: &search.service, mode: Mode::Owner };
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -1,16 +1,14 @@
-//! A balancer's decisions on packets whose flows it may never have seen: to
-//! which agent each goes. No sockets and no clocks: time comes in as an
-//! argument, what is to be sent goes out through [`Transmit`].
+//! Flow steering: decides to which agent a balancer sends each packet. It does no I/O
+//! and reads no clock; packets to send go out through [`Transmit`].
 //!
-//! - A new flow is offered to two agents of its route's service, which decide
-//!   between them by what they know of themselves ([`crate::agent::place()`]).
-//!   Agents that do not answer in time are left for the next two.
-//! - For a flow that another balancer saw open, agents of the service are asked,
-//!   a few at a time; the packet waits until one says that its target holds it.
-//! - What a balancer remembers of flows is a cache; the truth is at the agents.
+//! - An open (a caller's SYN) is offered to two agents of the route's service, which
+//!   choose between them by load ([`crate::agent::place()`]). If they do not answer in
+//!   time, the next two are tried.
+//! - For a flow that another balancer opened, agents are queried in waves until one
+//!   answers that its target holds the flow; its packets are buffered meanwhile.
+//! - The flow table is only a cache; the agents hold the authoritative state.
 //!
-//! All that grows with trouble has a budget: further offers of opens, questions
-//! to agents, packets kept ([`BalancerPolicy`]).
+//! Retries, queries and buffers are bounded by [`BalancerPolicy`].
 
 mod lookup;
 mod opens;
@@ -42,35 +40,33 @@
 use crate::policy::BalancerPolicy;
 use crate::token_bucket::TokenBucket;
 
-/// What a balancer sends.
+/// Sends what [`FlowSteering`] decides.
 pub trait Transmit {
-    /// A message, followed by a caller's packet, to an agent.
+    /// Sends `message`, followed by a caller's packet if not empty, to an agent.
     fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]);
-    /// A reset of `flow` to its caller; `seq` is the caller's last
+    /// Sends a TCP reset of `flow` to its caller; `seq` is the caller's last
     /// acknowledgement.
     fn send_reset(&mut self, flow: Flow, seq: u32);
 }
 
-/// One balancer's view and memory.
+/// The steering state of one balancer.
 #[derive(Debug)]
 pub struct FlowSteering {
     own_addr: SocketAddrV4,
     zone: Arc<str>,
     routes: Option<Routes>,
-    /// The agents that the balancer believes in.
+    /// Agents that flows can be sent to.
     pub roster: Roster,
     flows: Table<FlowState>,
     deadlines: DeadlineQueue,
     policy: BalancerPolicy,
     queries: QueryQueue,
-    /// How long agents take to answer.
     rtt: RttEstimator,
-    /// Further offers of opens that may be made.
     retry_budget: TokenBucket,
-    /// Bytes of packets kept while their flows' owners are asked for.
+    /// Size of all packets buffered by owner searches.
     buffered_bytes: usize,
-    /// Since when the store answers; none while it does not, so that agents
-    /// may run which are not in the roster.
+    /// Since when the store has been reachable. While it is not, agents missing from
+    /// the roster may be running.
     store_up_since: Option<Instant>,
     parked: VecDeque<Parked>,
     unpark_at: Option<Instant>,
@@ -78,16 +74,16 @@
 }
 
 impl FlowSteering {
-    /// A balancer in `zone` at which agents answer at `me`, and which
-    /// remembers flows for `idle`.
+    /// Steering of a balancer in `zone`. Agents reply to `own_addr`; a flow without
+    /// packets for `flow_ttl` is removed from the table.
     #[must_use]
-    pub fn new(me: SocketAddrV4, zone: Arc<str>, idle: Duration) -> Self {
+    pub fn new(own_addr: SocketAddrV4, zone: Arc<str>, flow_ttl: Duration) -> Self {
         Self {
-            own_addr: me,
+            own_addr,
             zone,
             routes: None,
             roster: Roster::default(),
-            flows: Table::new(idle),
+            flows: Table::new(flow_ttl),
             deadlines: DeadlineQueue::default(),
             policy: BalancerPolicy::default(),
             queries: QueryQueue::new(0.0, 0.0),
@@ -102,7 +98,7 @@
         .with_policy(BalancerPolicy::default())
     }
 
-    /// The balancer with another policy.
+    /// Replaces the policy. Clears the roster, so call it before the first update.
     #[must_use]
     pub fn with_policy(mut self, policy: BalancerPolicy) -> Self {
         self.queries = QueryQueue::new(policy.query_rate, policy.query_burst);
@@ -112,25 +108,26 @@
         self
     }
 
-    /// The configuration in force, if any is known.
+    /// The current configuration; none until the first arrives.
     #[must_use]
     pub const fn routes(&self) -> Option<&Routes> {
         self.routes.as_ref()
     }
 
-    /// Version of the configuration in force, if any is known.
+    /// Version of the current configuration.
     #[must_use]
     pub fn config_version(&self) -> Option<u64> {
         self.routes.as_ref().map(|r| r.version)
     }
 
-    /// Flows remembered.
+    /// Flows in the table.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Puts `routes` in force unless a newer version is; says whether it did.
+    /// Applies `routes` if its version is newer than the current one; returns whether
+    /// it was.
     pub fn apply_routes(&mut self, routes: Routes) -> bool {
         let newer = self.config_version().is_none_or(|v| v < routes.version);
         if newer {
@@ -139,19 +136,19 @@
         newer
     }
 
-    /// Says whether the store answers.
-    pub fn set_store_reachable(&mut self, answers: bool, now: Instant) {
-        self.store_up_since = if answers { self.store_up_since.or(Some(now)) } else { None };
+    /// Records whether the store answers.
+    pub fn set_store_reachable(&mut self, reachable: bool, now: Instant) {
+        self.store_up_since = if reachable { self.store_up_since.or(Some(now)) } else { None };
     }
 
-    /// Resumes after the process did not run for `paused`. Until the store answers
-    /// again, agents may run that are not in the roster.
+    /// Accounts for a time `paused` in which the process did not run: the store counts
+    /// as unreachable until it answers again.
     pub fn resume(&mut self, paused: Duration) {
         self.store_up_since = None;
         self.roster.resume(paused);
     }
 
-    /// Takes one packet of a caller.
+    /// Handles one packet of a caller.
     pub fn handle_packet(
         &mut self,
         seg: &Segment,
@@ -177,7 +174,7 @@
         }
     }
 
-    /// Takes one message of an agent; what only agents take is ignored.
+    /// Handles one message of an agent. Messages meant for agents are ignored.
     pub fn handle_message(
         &mut self,
         from: SocketAddrV4,
@@ -196,7 +193,7 @@
         }
     }
 
-    /// Takes what an agent says of a flow.
+    /// Handles an agent's notification about a flow.
     pub fn handle_note(
         &mut self,
         from: SocketAddrV4,
@@ -218,7 +215,7 @@
         }
     }
 
-    /// Takes an agent's answers to questions.
+    /// Handles an agent's answers to queries.
     pub fn handle_answers(
         &mut self,
         from: SocketAddrV4,
@@ -234,7 +231,7 @@
         }
     }
 
-    /// The target of the agent `from` holds `flow`.
+    /// Records that the target of agent `from` holds `flow`.
     fn record_owner(
         &mut self,
         from: SocketAddrV4,
@@ -253,8 +250,8 @@
                 self.forward_buffered(from, s, out);
                 service
             }
-            Some(at @ FlowState::Owned { .. }) => {
-                self.flows.insert(flow, at, now);
+            Some(owned @ FlowState::Owned { .. }) => {
+                self.flows.insert(flow, owned, now);
                 return;
             }
             None => return,
@@ -262,8 +259,8 @@
         self.flows.insert(flow, FlowState::Owned { agent: from, service }, now);
     }
 
-    /// Tells a flow's home of its owner, unless it is the owner or passed the
-    /// open on to it: whoever asks for the flow asks its home first.
+    /// Tells the flow's home agent, which other balancers query first, who owns the
+    /// flow, unless it is the owner or passed the open on to it.
     fn send_owner_hint(
         &self,
         owner: SocketAddrV4,
@@ -273,20 +270,19 @@
     ) {
         let home = self.roster.home_agent(&o.service, &self.zone, flow);
         let Some(home) = home.filter(|h| *h != owner && self.policy.hints_enabled) else { return };
-        let passed = o.offered_to.iter().rev().nth(1) == Some(&home);
-        if !passed {
+        let passed_on = o.offered_to.iter().rev().nth(1) == Some(&home);
+        if !passed_on {
             out.send_to_agent(home, &Message::Hint { flow, agent: owner }, &[]);
         }
     }
 
-    /// After how long an answer of an agent is taken as missing.
+    /// How long to wait for an answer of an agent.
     fn response_timeout(&self) -> Duration {
         self.rtt.timeout(self.policy.min_timeout, self.policy.max_timeout)
     }
 
-    /// What the balancer believes, as JSON: the configuration's version, the
-    /// agents with the age of what it last heard of each, and, where `flow` is
-    /// given, where its packets go and by which rule.
+    /// The state as JSON for operators: the version of the configuration, each agent
+    /// and, if `flow` is given, how its packets are steered.
     #[must_use]
     pub fn state_json(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
         serde_json::json!({
@@ -301,7 +297,7 @@
 
     fn explain_flow(&self, flow: Flow, now: Instant) -> serde_json::Value {
         let route = self.routes.as_ref().and_then(|r| r.route_for(flow));
-        let pick = route.and_then(|(_, weighted)| {
+        let pair = route.and_then(|(_, weighted)| {
             self.roster.choose_pair(&weighted.service, &self.zone, flow, None, &[], now)
         });
         serde_json::json!({
@@ -309,23 +305,23 @@
             "route": route.map(|(r, _)| r.name.to_string()),
             "service": route.map(|(_, s)| s.service.to_string()),
             "known": self.flows.peek(flow).map(FlowState::describe),
-            "a_new_one_goes_to": pick.map(|(a, b)| (a.to_string(), b.map(|b| b.to_string()))),
+            "a_new_one_goes_to": pair.map(|(a, b)| (a.to_string(), b.map(|b| b.to_string()))),
         })
     }
 
-    /// Whether callers should be sent here: a configuration is in force and
-    /// agents can be reached.
+    /// Whether the balancer should receive traffic: it has a configuration, some agent
+    /// answers and it is not shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.routes.is_some() && !self.shutting_down && !self.roster.all_silent()
     }
 
-    /// From now on callers should be sent elsewhere.
+    /// Makes the balancer unready, so that routers send its traffic elsewhere.
     pub const fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
 
-    /// When [`FlowSteering::tick`] next has something to do.
+    /// When [`FlowSteering::tick`] must next be called.
     #[must_use]
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         [
@@ -339,7 +335,7 @@
         .min()
     }
 
-    /// Does what has come due by `now`.
+    /// Handles expired timers and sends queued queries and pings.
     pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.unpark_at.is_some_and(|at| at <= now) {
             self.unpark_at = None;
@@ -350,8 +346,8 @@
         }
         self.roster.ping_suspects(now, out);
         self.queries.send_queued(now, out);
-        let kept = &mut self.buffered_bytes;
-        self.flows.expire(now, |_, known| *kept -= known.buffered_bytes());
+        let buffered = &mut self.buffered_bytes;
+        self.flows.expire(now, |_, state| *buffered -= state.buffered_bytes());
     }
 
     fn handle_deadline(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
@@ -366,7 +362,7 @@
         }
     }
 
-    /// Keeps a packet that came before any configuration was known.
+    /// Queues a packet until the first configuration arrives.
     fn park(&mut self, arrival: &Arrival<'_>) {
         if self.parked.len() >= self.policy.max_parked {
             metrics::refused(Refusal::NoConfig);
@@ -377,8 +373,8 @@
         self.parked.push_back(Parked { arrived_at: arrival.now, seg, packet });
     }
 
-    /// Takes the packets kept until a configuration was known; those whose
-    /// callers have sent a copy or given up since are dropped.
+    /// Handles the queued packets once there is a configuration; drops those older than
+    /// the open timeout.
     fn unpark(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.routes.is_none() {
             self.unpark_at = Some(now + self.policy.unpark_interval);
@@ -392,7 +388,8 @@
     }
 }
 
-/// Flows by when to look at them again.
+/// Flows ordered by their next timer. Timers are not cancelled: a popped flow's state
+/// tells whether its deadline still applies.
 #[derive(Debug, Default)]
 struct DeadlineQueue(BinaryHeap<Reverse<(Instant, Flow)>>);
 
@@ -405,14 +402,14 @@
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next flow out whose time has come.
+    /// Removes the next flow whose deadline has passed.
     fn pop_due(&mut self, now: Instant) -> Option<Flow> {
         self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, flow))| flow)
     }
 }
 
-/// A packet that came before any configuration was known.
+/// A packet received before the first configuration.
 #[derive(Debug)]
 struct Parked {
     arrived_at: Instant,
@@ -420,7 +417,7 @@
     packet: Vec<u8>,
 }
 
-/// Tells a caller at once that its flow cannot be opened; nothing ran.
+/// Resets a flow that was not opened at any target.
 fn refuse_open(flow: Flow, reason: Refusal, out: &mut impl Transmit) {
     send_refusal(flow, 0, reason, out);
 }
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -1,4 +1,4 @@
-//! New flows: to which agents an open is offered, and what becomes of it.
+//! Opening of flows: offers opens to agents, retries them and refuses them.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -11,30 +11,32 @@
 use crate::wire::{Offer, Stage};
 
 impl FlowSteering {
-    /// Offers a new flow, or the copy of one, to agents.
+    /// Offers an open, new or retransmitted, to agents.
     pub(super) fn handle_open(&mut self, arrival: &Arrival<'_>, out: &mut impl Transmit) {
         let (flow, seq, now) = (arrival.flow(), arrival.seg.seq, arrival.now);
         let Some((route, weighted)) = self.routes.as_ref().and_then(|r| r.route_for(flow)) else {
             refuse_open(flow, Refusal::NoProfile, out);
             return;
         };
-        let patience = self.policy.open_timeout.min(route.request_timeout / 2);
-        let mut opening = PendingOpen::new(weighted, seq, arrival.packet, now, patience);
-        let mut before = None;
+        let timeout = self.policy.open_timeout.min(route.request_timeout / 2);
+        let mut opening = PendingOpen::new(weighted, seq, arrival.packet, now, timeout);
+        let mut previous = None;
         match self.flows.remove(flow) {
-            Some(FlowState::Owned { agent, .. }) => before = Some(agent),
+            Some(FlowState::Owned { agent, .. }) => previous = Some(agent),
             Some(FlowState::Opening(o)) if o.seq == seq => {
-                before = o.offered_to.first().copied();
+                previous = o.offered_to.first().copied();
                 opening = PendingOpen { offered_to: Vec::new(), ..o };
             }
-            Some(known @ FlowState::Searching(_)) => self.buffered_bytes -= known.buffered_bytes(),
+            Some(search @ FlowState::Searching(_)) => {
+                self.buffered_bytes -= search.buffered_bytes()
+            }
             _ => {}
         }
         self.retry_budget.add(self.policy.retry_ratio);
-        // A copy goes where the first went, if that agent answers: a second
-        // target would only answer a handshake that is thrown away.
-        let before = before.filter(|a| self.roster.is_responsive(*a));
-        if !self.offer_open(flow, &mut opening, before, now, out) {
+        // A retransmitted SYN goes to the same agent again, so that no second target
+        // opens the flow.
+        let previous = previous.filter(|a| self.roster.is_responsive(*a));
+        if !self.offer_open(flow, &mut opening, previous, now, out) {
             if self.is_roster_current(now) {
                 refuse_open(flow, Refusal::NoTarget, out);
                 return;
@@ -44,24 +46,25 @@
         self.flows.insert(flow, FlowState::Opening(opening), now);
     }
 
-    /// Lets an open rest until the next round of offers; the pauses grow.
+    /// Schedules the next round of offers, with exponential backoff.
     pub(super) fn schedule_retry(&mut self, flow: Flow, opening: &mut PendingOpen, now: Instant) {
-        let pause =
+        let delay =
             backoff(self.policy.retry_delay, opening.round_count, self.policy.max_retry_delay);
         opening.offered_to.clear();
         opening.round_count += 1;
         opening.in_backoff = true;
-        opening.deadline = now + pause;
+        opening.deadline = now + delay;
         self.deadlines.push(opening.deadline, flow);
     }
 
-    /// Whether an agent that is not in the roster can be taken as gone.
+    /// Whether the roster is complete: the store has been reachable for long enough that
+    /// every live agent is listed again.
     pub(super) fn is_roster_current(&self, now: Instant) -> bool {
         self.store_up_since.is_some_and(|at| now.duration_since(at) >= self.policy.relist_grace)
     }
 
-    /// Offers an open to the next two agents; `first` names the first of them
-    /// where it is already known. Says whether there was one left.
+    /// Offers an open to the next two agents, the first of which is `first` if given.
+    /// Returns false if every agent was offered it in this round.
     pub(super) fn offer_open(
         &mut self,
         flow: Flow,
@@ -98,6 +101,7 @@
         true
     }
 
+    /// Offers a refused open to the next agents, retries it later or resets the flow.
     pub(super) fn handle_refusal(
         &mut self,
         from: SocketAddrV4,
@@ -113,23 +117,23 @@
         o.inconclusive |= matches!(reason, Refusal::NoTarget | Refusal::Busy);
         let Some(FlowState::Opening(mut opening)) = self.flows.remove(flow) else { return };
         self.rtt.record_sample(now.duration_since(opening.offered_at));
-        let most = if reason == Refusal::Busy {
+        let limit = if reason == Refusal::Busy {
             self.policy.max_busy_offers
         } else {
             self.policy.max_offers
         };
-        let more = opening.offered_to.len() < most;
-        if more && self.offer_open(flow, &mut opening, None, now, out) {
+        let may_offer = opening.offered_to.len() < limit;
+        if may_offer && self.offer_open(flow, &mut opening, None, now, out) {
             self.flows.insert(flow, FlowState::Opening(opening), now);
-        } else if more && !opening.inconclusive && self.is_roster_current(now) {
+        } else if may_offer && !opening.inconclusive && self.is_roster_current(now) {
             refuse_open(flow, reason, out);
         } else {
             self.retry_or_refuse(flow, opening, reason, now, out);
         }
     }
 
-    /// Offers an open to all agents once more after a pause; one that was kept
-    /// for as long as it may be is refused for `reason`.
+    /// Schedules another round of offers, or refuses the open for `reason` once it has
+    /// timed out.
     pub(super) fn retry_or_refuse(
         &mut self,
         flow: Flow,
@@ -146,8 +150,8 @@
         }
     }
 
-    /// The agents that an open was offered to did not answer, or its rest is
-    /// over: offers it to the next, as far as the budget goes.
+    /// Offers an open to the next agents when an offer was not answered in time or the
+    /// delay before a new round is over, if the retry budget allows it.
     pub(super) fn handle_open_timeout(
         &mut self,
         flow: Flow,
@@ -178,17 +182,17 @@
         }
     }
 
-    /// Whether the budget has one more offer.
+    /// Takes a token from the retry budget; false if there is none.
     fn take_retry_token(&mut self, now: Instant) -> bool {
-        // At most some thousands of agents, so the value is kept.
+        // The number of agents is small enough to be exact.
         let rate = self.policy.retry_rate * self.roster.len() as f64;
         self.retry_budget.refill(rate, now);
         self.retry_budget.try_take()
     }
 }
 
-/// `pause`, doubled `times` times, up to `most`.
-fn backoff(pause: Duration, times: u32, most: Duration) -> Duration {
+/// `base`, doubled `times` times, up to `limit` but not below `base`.
+fn backoff(base: Duration, times: u32, limit: Duration) -> Duration {
     let factor = 1_u32.checked_shl(times).unwrap_or(u32::MAX);
-    pause.saturating_mul(factor).min(most.max(pause))
+    base.saturating_mul(factor).min(limit.max(base))
 }
--- a/src/steering/queries.rs
+++ b/src/steering/queries.rs
@@ -1,5 +1,5 @@
-//! Questions to agents about flows: gathered until the end of a wake-up, so
-//! that those to one agent share a datagram, and bounded by a budget.
+//! Queue of owner queries: batches queries to one agent into a datagram and limits the
+//! rate of datagrams.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -11,25 +11,26 @@
 use crate::flow::Flow;
 use crate::token_bucket::TokenBucket;
 
+/// Queued queries to one agent.
 #[derive(Debug, Default)]
 struct AgentQueries {
     service: Arc<str>,
     questions: VecDeque<Question>,
 }
 
-/// Questions that have not gone out yet.
+/// Owner queries that are not sent yet.
 #[derive(Debug)]
 pub struct QueryQueue {
     queues: BTreeMap<SocketAddrV4, AgentQueries>,
-    /// Agents with questions, those that have waited longest first.
+    /// Agents with queued queries, in the order in which they are served.
     round_robin: VecDeque<SocketAddrV4>,
     budget: TokenBucket,
-    /// Datagrams a second.
+    /// Datagrams sent a second at most.
     rate: f64,
 }
 
 impl QueryQueue {
-    /// No questions, and at most `rate` datagrams a second, `burst` at once.
+    /// An empty queue that sends at most `rate` datagrams a second and `burst` at once.
     #[must_use]
     pub const fn new(rate: f64, burst: f64) -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// QueryQueue `agent`, beside a target of `service`.
+    /// Queues a query to `agent`, whose target runs `service`, unless it is queued.
     pub fn enqueue(&mut self, agent: SocketAddrV4, service: &Arc<str>, question: Question) {
         let queue = self.queues.entry(agent).or_default();
         if queue.questions.is_empty() {
@@ -52,14 +53,14 @@
         }
     }
 
-    /// Whether `agent` is still to be asked for `flow`.
+    /// Whether a query to `agent` about `flow` is queued.
     #[must_use]
     pub fn is_queued(&self, agent: SocketAddrV4, flow: Flow) -> bool {
         let queue = self.queues.get(&agent);
         queue.is_some_and(|q| q.questions.iter().any(|x| x.flow == flow))
     }
 
-    /// Sends what the budget allows.
+    /// Sends queued queries as far as the rate limit allows.
     pub fn send_queued(&mut self, now: Instant, out: &mut impl Transmit) {
         self.budget.refill(self.rate, now);
         while let Some(agent) = self.round_robin.front().copied() {
@@ -68,8 +69,8 @@
             }
             self.round_robin.pop_front();
             let Some(queue) = self.queues.get_mut(&agent) else { continue };
-            let part = queue.questions.len().min(QUESTIONS);
-            let questions = queue.questions.drain(..part).collect();
+            let count = queue.questions.len().min(QUESTIONS);
+            let questions = queue.questions.drain(..count).collect();
             out.send_to_agent(
                 agent,
                 &Message::Ask(Ask { service: &queue.service, questions }),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// When the budget allows the next question, if one waits.
+    /// When the next queued query may be sent; none if the queue is empty.
     #[must_use]
     pub fn next_send(&self, now: Instant) -> Option<Instant> {
         (!self.round_robin.is_empty()).then(|| now + self.budget.time_to_token(self.rate))
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -1,10 +1,8 @@
-//! The agents that a balancer believes in.
+//! The agents known to a balancer, with failure detection.
 //!
-//! The store lists agents; what an agent says itself goes before the list. An
-//! agent whose entry is gone from the store (the store let its lease lapse,
-//! or takes keys away from machines it refuses) is asked directly and stays
-//! as long as it answers. One that does not answer is offered flows last, and
-//! is asked until it does.
+//! The store lists agents, but an agent's own messages take precedence: one that the
+//! store no longer lists is pinged and kept as long as it answers. An agent that does
+//! not answer is suspected: it is offered flows last and pinged until it answers.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -24,13 +22,13 @@
 /// An agent as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedAgent {
-    /// Address at which it talks to balancers.
+    /// Address for messages of balancers.
     pub addr: SocketAddrV4,
-    /// Its data centre.
+    /// Data centre of the agent.
     pub zone: Arc<str>,
-    /// The service of its target.
+    /// Service of its target.
     pub service: Arc<str>,
-    /// The start of its target for which it has taken flows.
+    /// The start of its target that it takes flows for.
     #[serde(default)]
     pub target: Option<Start>,
 }
@@ -39,23 +37,22 @@
 struct Agent {
     zone: Arc<str>,
     service: Arc<str>,
-    /// The start of its target that its entry names.
+    /// The start of its target named in the store.
     target_start: Option<Start>,
-    /// It said that no process of its target runs.
+    /// Whether it last reported that no process of its target runs.
     target_ended: bool,
-    /// Since when the store does not list it.
+    /// Since when the store has not listed it.
     unlisted_since: Option<Instant>,
-    /// Its load as it last said.
+    /// The load it last reported.
     load: u32,
-    /// When it last said anything, or was first listed.
+    /// When it last sent a message, or was first listed.
     last_heard: Instant,
-    /// It did not answer, since when.
+    /// Since when it has not answered.
     silent_since: Option<Instant>,
-    /// When it was last asked whether it is there.
     last_ping: Option<Instant>,
-    /// Whether it was asked since it last said anything and since its entry went.
+    /// Whether it was pinged after its last message and after it became unlisted.
     ping_pending: bool,
-    /// Until when its turn to be asked had not come.
+    /// Until when the rate limit held back its ping, which delays `unlisted_timeout`.
     deferred_until: Option<Instant>,
 }
 
@@ -64,41 +61,41 @@
         self.unlisted_since.is_some() || self.silent_since.is_some()
     }
 
-    fn is_retained(&self, keep: Duration, now: Instant) -> bool {
+    /// Whether it is listed, or was unlisted, unheard and pinged for less than `timeout`.
+    fn is_retained(&self, timeout: Duration, now: Instant) -> bool {
         let since = |at: Instant| at.max(self.last_heard).max(self.deferred_until.unwrap_or(at));
-        self.unlisted_since.is_none_or(|at| now.duration_since(since(at)) < keep)
+        self.unlisted_since.is_none_or(|at| now.duration_since(since(at)) < timeout)
     }
 
-    /// Its turn to be asked has not come before `now`: the time that it has to
-    /// answer begins then, unless it was asked before.
+    /// Restarts its time to answer at `now` because of the rate limit, unless a ping is
+    /// pending.
     fn defer(&mut self, now: Instant) {
         if !self.ping_pending {
             self.deferred_until = Some(now);
         }
     }
 
-    /// Whether it answers and did not say within `unable` that it can take
-    /// nothing.
-    fn accepts_flows(&self, unable: Duration, now: Instant) -> bool {
-        let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable;
+    /// Whether it answers and did not report within `unable_ttl` that it can take no
+    /// flow.
+    fn accepts_flows(&self, unable_ttl: Duration, now: Instant) -> bool {
+        let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable_ttl;
         self.silent_since.is_none() && !unable
     }
 }
 
-/// Least pause between two looks for agents to ask while the budget is spent: each
-/// goes through all agents.
+/// Interval at which pings held back by the rate limit are retried. Each retry scans
+/// all agents.
 const PING_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The agents by address and by service.
+/// Agents by address and by service.
 #[derive(Clone, Debug)]
 pub struct Roster {
     suspicion: SuspicionPolicy,
-    /// In the order of their addresses, so that questions go out in one order.
+    /// Ordered, so that pings go out in a deterministic order.
     agents: BTreeMap<SocketAddrV4, Agent>,
     services: HashMap<Arc<str>, Vec<SocketAddrV4>>,
-    /// When the next question is due; none while no agent is suspected.
+    /// When the next ping is due; none while no agent is suspected.
     next_ping_at: Option<Instant>,
-    /// Questions to suspected agents that may be asked.
     ping_budget: TokenBucket,
 }
 
@@ -109,10 +106,10 @@
 }
 
 impl Roster {
-    /// No agents yet; they are suspected as `suspicion` says.
+    /// An empty roster.
     #[must_use]
     pub fn new(suspicion: SuspicionPolicy) -> Self {
-        // What comes in between two looks must not be lost.
+        // Holds the tokens of two retry intervals, so that none are lost between them.
         let burst = f64::from(suspicion.ping_rate) * 2.0 * PING_RETRY_INTERVAL.as_secs_f64();
         Self {
             suspicion,
@@ -123,20 +120,20 @@
         }
     }
 
-    /// Agents believed in.
+    /// Number of agents.
     #[must_use]
     pub fn len(&self) -> usize {
         self.agents.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no agents.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.agents.is_empty()
     }
 
-    /// Resumes after the process did not run for `paused`: no agent was asked
-    /// meanwhile, so that time does not count as silence.
+    /// Accounts for a time `paused` in which the process did not run: it does not count
+    /// as silence of agents.
     pub fn resume(&mut self, paused: Duration) {
         for a in self.agents.values_mut() {
             for since in [&mut a.silent_since, &mut a.unlisted_since, &mut a.deferred_until] {
@@ -145,10 +142,10 @@
         }
     }
 
-    /// Takes in the agents that the store lists now; says whether any came or
-    /// went.
-    pub fn update(&mut self, announced: &[ListedAgent], now: Instant) -> bool {
-        let listed: HashSet<SocketAddrV4> = announced.iter().map(|a| a.addr).collect();
+    /// Updates the roster to the agents that the store lists; returns whether any was
+    /// added or became unlisted.
+    pub fn update(&mut self, agents: &[ListedAgent], now: Instant) -> bool {
+        let listed: HashSet<SocketAddrV4> = agents.iter().map(|a| a.addr).collect();
         let mut changed = false;
         for (addr, a) in &mut self.agents {
             if a.unlisted_since.is_none() && !listed.contains(addr) {
@@ -157,7 +154,7 @@
                 changed = true;
             }
         }
-        for a in announced {
+        for a in agents {
             changed |= self.insert_listed(a, now);
         }
         if self.agents.values().any(Agent::is_suspected) {
@@ -166,7 +163,7 @@
         changed
     }
 
-    /// Takes in one agent that the store lists; says whether that is new.
+    /// Adds or updates a listed agent; returns whether it was unknown or unlisted.
     fn insert_listed(&mut self, a: &ListedAgent, now: Instant) -> bool {
         match self.agents.get_mut(&a.addr) {
             Some(known) if known.service == a.service => {
@@ -203,30 +200,29 @@
         self.services.entry(a.service.clone()).or_default().push(a.addr);
     }
 
-    /// Takes an agent out of the roster and of its service: work that grows
-    /// with the service, not with the fleet.
+    /// Removes an agent, in time linear in the agents of its service.
     fn remove(&mut self, addr: SocketAddrV4) {
-        let Some(gone) = self.agents.remove(&addr) else { return };
-        if let Some(of) = self.services.get_mut(&gone.service) {
-            of.retain(|a| *a != addr);
-            if of.is_empty() {
-                self.services.remove(&gone.service);
+        let Some(removed) = self.agents.remove(&addr) else { return };
+        if let Some(addrs) = self.services.get_mut(&removed.service) {
+            addrs.retain(|a| *a != addr);
+            if addrs.is_empty() {
+                self.services.remove(&removed.service);
             }
         }
     }
 
-    /// Every agent of `service`.
+    /// Addresses of the agents of `service`.
     pub fn agents_of(&self, service: &str) -> impl Iterator<Item = SocketAddrV4> {
         self.services.get(service).into_iter().flatten().copied()
     }
 
-    /// Whether the agent is known and answers.
+    /// Whether the agent is known and not silent.
     #[must_use]
     pub fn is_responsive(&self, addr: SocketAddrV4) -> bool {
         self.agents.get(&addr).is_some_and(|a| a.silent_since.is_none())
     }
 
-    /// Each agent with what is believed of it, as JSON.
+    /// The state of each agent as JSON, for operators.
     #[must_use]
     pub fn state_json(&self, now: Instant) -> Vec<serde_json::Value> {
         let mut agents: Vec<_> = self.agents.iter().collect();
@@ -247,58 +243,55 @@
         agents.into_iter().map(one).collect()
     }
 
-    /// Whether there are agents and none of them answers: the balancer is cut
-    /// off from them, and another should have its callers.
+    /// Whether there are agents and none answers: the balancer is probably partitioned
+    /// from them.
     #[must_use]
     pub fn all_silent(&self) -> bool {
         !self.agents.is_empty() && self.agents.values().all(|a| a.silent_since.is_some())
     }
 
-    /// Whether a flow at the agent's target is lost to its caller: the agent has
-    /// not answered for long, or does not answer after it said that the target had
-    /// ended. The second keeps a VM that goes dark with its target from holding up
-    /// what becomes of every other flow of the service.
+    /// Whether flows at the agent's target are lost: the agent is unknown, was silent for
+    /// `dead_after`, or became silent after it reported that its target had ended.
     #[must_use]
     pub fn is_dead(&self, addr: SocketAddrV4, now: Instant) -> bool {
-        self.target_ended(addr) || self.is_silent_for(addr, self.suspicion.dead_after, now)
+        self.ended_and_silent(addr) || self.is_silent_for(addr, self.suspicion.dead_after, now)
     }
 
-    /// Whether the agent is silent and last said that its target had ended.
+    /// Whether the agent is unknown, or is silent and last reported that its target had
+    /// ended.
     #[must_use]
-    pub fn target_ended(&self, addr: SocketAddrV4) -> bool {
+    pub fn ended_and_silent(&self, addr: SocketAddrV4) -> bool {
         self.agents.get(&addr).is_none_or(|a| a.target_ended && a.silent_since.is_some())
     }
 
-    /// Whether the agent has not answered for `span` or longer.
+    /// Whether the agent is unknown or has been silent for at least `span`.
     #[must_use]
     pub fn is_silent_for(&self, addr: SocketAddrV4, span: Duration, now: Instant) -> bool {
         let silent = self.agents.get(&addr).map(|a| a.silent_since);
         silent.is_none_or(|s| s.is_some_and(|at| now.duration_since(at) >= span))
     }
 
-    /// Whether the agent is silent, and its entry is gone from the store or it said
-    /// that its target had ended. Agents take their entries out when their targets
-    /// have ended; one that restarts stays listed, and one whose entry was taken
-    /// away answers.
+    /// Whether the agent left together with its target: it is silent, and is unlisted or
+    /// reported that its target had ended. An agent that restarts stays listed.
     #[must_use]
     pub fn has_left(&self, addr: SocketAddrV4) -> bool {
         let unlisted = self.agents.get(&addr).is_none_or(|a| a.unlisted_since.is_some());
-        self.target_ended(addr) || unlisted && !self.is_responsive(addr)
+        self.ended_and_silent(addr) || unlisted && !self.is_responsive(addr)
     }
 
-    /// An agent said something; `load` is its load now.
+    /// Records a message of an agent that reports `load`.
     pub fn record_contact(&mut self, addr: SocketAddrV4, load: u32, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr) {
             a.load = load;
             a.last_heard = now;
             a.silent_since = None;
             a.ping_pending = false;
-            // Only with a target can it take flows.
+            // An agent that can take flows has a running target.
             a.target_ended &= load == UNABLE;
         }
     }
 
-    /// An agent answered `status` of a flow.
+    /// Records what a flow's status says about an agent's target.
     pub fn record_status(&mut self, addr: SocketAddrV4, status: FlowStatus) {
         if let Some(a) = self.agents.get_mut(&addr) {
             match status {
@@ -307,13 +300,14 @@
                 | FlowStatus::Unknown
                 | FlowStatus::Unverified
                 | FlowStatus::NotOwner => a.target_ended = false,
-                // Says nothing of the target.
+                // Does not tell whether the target runs.
                 FlowStatus::Refused(_) => {}
             }
         }
     }
 
-    /// An agent answered a question: its target runs `service`.
+    /// Handles the answer to a ping. An agent that now serves another service is removed
+    /// until the store lists it.
     pub fn handle_pong(&mut self, addr: SocketAddrV4, service: &str, load: u32, now: Instant) {
         if self.agents.get(&addr).is_some_and(|a| &*a.service != service) {
             self.remove(addr);
@@ -321,7 +315,7 @@
         self.record_contact(addr, load, now);
     }
 
-    /// An agent did not answer in time.
+    /// Records that an agent did not answer in time.
     pub fn record_timeout(&mut self, addr: SocketAddrV4, now: Instant) {
         if let Some(a) = self.agents.get_mut(&addr)
             && now.duration_since(a.last_heard) >= self.suspicion.silence_grace
@@ -331,16 +325,13 @@
         }
     }
 
-    /// The two agents of `service` that `flow` is offered to, `first` being
-    /// fixed where given: one of the balancer's own `zone` and one of all
-    /// others, those that the flow prefers among those that can take flows.
-    /// Agents in `except` were asked before.
+    /// The two agents of `service` that `flow` is offered to, chosen by rendezvous
+    /// hashing among those that accept flows: one in `zone` if possible, and one of all
+    /// others. `first` replaces the first choice; agents in `except` are skipped.
     ///
-    /// Which of the two takes it they decide by loads as of now; a choice by
-    /// what the balancer last heard, some hundred milliseconds ago, would send
-    /// each burst to one agent. That every process prefers the same two finds
-    /// flows again after agents and balancers have lost their memory together
-    /// (see [`Roster::likely`]).
+    /// The two agents compare their current loads themselves, since the loads known
+    /// here are too old for bursts. The choice is the same in every process, so that
+    /// [`Roster::rank_by_likelihood`] finds the owner after restarts.
     #[must_use]
     pub fn choose_pair(
         &self,
@@ -351,24 +342,24 @@
         except: &[SocketAddrV4],
         now: Instant,
     ) -> Option<(SocketAddrV4, Option<SocketAddrV4>)> {
-        let left: Vec<SocketAddrV4> =
+        let remaining: Vec<SocketAddrV4> =
             self.agents_of(service).filter(|a| !except.contains(a)).collect();
-        let able = |a: &SocketAddrV4| self.agents[a].accepts_flows(self.suspicion.unable_ttl, now);
-        let near = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
+        let accepts =
+            |a: &SocketAddrV4| self.agents[a].accepts_flows(self.suspicion.unable_ttl, now);
+        let local = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
         let first = first
-            .or_else(|| preferred(&left, flow, |a| able(a) && near(a)))
-            .or_else(|| preferred(&left, flow, able))
-            .or_else(|| preferred(&left, flow, |_| true))?;
+            .or_else(|| preferred(&remaining, flow, |a| accepts(a) && local(a)))
+            .or_else(|| preferred(&remaining, flow, accepts))
+            .or_else(|| preferred(&remaining, flow, |_| true))?;
         let other = |a: &SocketAddrV4| *a != first;
-        // Never one that does not answer: the first may pass the open on to it,
-        // and it would be lost there.
-        let second = preferred(&left, flow, |a| other(a) && able(a))
-            .or_else(|| preferred(&left, flow, |a| other(a) && self.is_responsive(*a)));
+        // Never a silent agent: the first may pass the open on to it, which loses it.
+        let second = preferred(&remaining, flow, |a| other(a) && accepts(a))
+            .or_else(|| preferred(&remaining, flow, |a| other(a) && self.is_responsive(*a)));
         Some((first, second))
     }
 
-    /// `agents` in the order in which they are likely to have been offered
-    /// `flow` when it opened: as [`Roster::pick`] would choose now.
+    /// `agents` ordered by how likely they were offered `flow` when it opened, following
+    /// the order of [`Roster::choose_pair`].
     #[must_use]
     pub fn rank_by_likelihood(
         &self,
@@ -376,32 +367,31 @@
         zone: &str,
         flow: Flow,
     ) -> Vec<SocketAddrV4> {
-        let near = |a: &SocketAddrV4| self.agents.get(a).is_some_and(|x| &*x.zone == zone);
-        let first = preferred(agents, flow, near);
+        let local = |a: &SocketAddrV4| self.agents.get(a).is_some_and(|x| &*x.zone == zone);
+        let first = preferred(agents, flow, local);
         let mut order = agents.to_vec();
         order.sort_by_key(|a| (Some(*a) != first, std::cmp::Reverse(flow.preference(*a))));
         order
     }
 
-    /// The agent that is asked first for `flow` by balancers of `zone`, and
-    /// offered it first where it can take flows.
+    /// The flow's home agent: the one that balancers of `zone` query first for its owner
+    /// and, if it accepts flows, offer it first.
     #[must_use]
     pub fn home_agent(&self, service: &str, zone: &str, flow: Flow) -> Option<SocketAddrV4> {
         let all: Vec<SocketAddrV4> =
             self.agents_of(service).filter(|a| self.is_responsive(*a)).collect();
-        let near = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
-        preferred(&all, flow, near).or_else(|| preferred(&all, flow, |_| true))
+        let local = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
+        preferred(&all, flow, local).or_else(|| preferred(&all, flow, |_| true))
     }
 
-    /// When the next question to an agent is due.
+    /// When [`Roster::ping_suspects`] must next be called.
     #[must_use]
     pub const fn next_ping(&self) -> Option<Instant> {
         self.next_ping_at
     }
 
-    /// Asks the suspected agents, those that have waited longest first, as
-    /// far as the budget goes, and drops those that the store does not list and
-    /// that had their turn and have not answered in time.
+    /// Pings suspected agents, the least recently pinged first, as far as the rate limit
+    /// allows. Removes unlisted agents that did not answer in time.
     pub fn ping_suspects(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.next_ping_at.is_none_or(|at| at > now) {
             return;
@@ -416,8 +406,8 @@
             self.remove(addr);
         }
         self.ping_budget.refill(self.suspicion.ping_rate.into(), now);
-        let pause = self.suspicion.ping_interval;
-        let due = |a: &Agent| a.last_ping.is_none_or(|at| now.duration_since(at) >= pause);
+        let interval = self.suspicion.ping_interval;
+        let due = |a: &Agent| a.last_ping.is_none_or(|at| now.duration_since(at) >= interval);
         let mut waiting: Vec<_> =
             self.agents.iter_mut().filter(|(_, a)| a.is_suspected() && due(a)).collect();
         waiting.sort_by_key(|(_, a)| a.last_ping);
@@ -436,12 +426,12 @@
             out.send_to_agent(*addr, &Message::Ping { listed: a.unlisted_since.is_none() }, &[]);
         }
         let suspected = self.agents.values().filter(|a| a.is_suspected());
-        let next = suspected.filter_map(|a| a.last_ping).min().map(|at| at + pause);
+        let next = suspected.filter_map(|a| a.last_ping).min().map(|at| at + interval);
         self.next_ping_at = if spent { Some(now + PING_RETRY_INTERVAL) } else { next };
     }
 }
 
-/// The one of the `wanted` among `all` that `flow` prefers.
+/// The `wanted` agent among `all` with the highest rendezvous hash for `flow`.
 fn preferred(
     all: &[SocketAddrV4],
     flow: Flow,
--- a/src/steering/routes.rs
+++ b/src/steering/routes.rs
@@ -1,4 +1,4 @@
-//! The routes in force: which service an address belongs to.
+//! The route table: which service handles the flows to an address.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,48 +9,50 @@
 
 use crate::flow::Flow;
 
-/// One version of the operators' configuration.
+/// One version of the route configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Routes {
-    /// Its version; a newer one has a higher number.
+    /// Increases with each change.
     pub version: u64,
-    /// Routes by the address that callers call.
+    /// Routes by the address that callers connect to.
     pub by_address: HashMap<SocketAddrV4, Route>,
-    /// A flow without packets for this long may be forgotten.
+    /// A flow without packets for this long may be removed from flow tables.
     pub idle_timeout: Duration,
 }
 
-/// One route.
+/// A route from one address to weighted services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name, for logs and reports.
     pub name: Arc<str>,
-    /// The services that serve it, by weight.
+    /// Services that new flows are distributed over.
     pub services: Vec<WeightedService>,
     /// Time limit of one request.
     #[serde(rename = "limit")]
     pub request_timeout: Duration,
 }
 
-/// One service's part in a route.
+/// A service of a route with its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the route's services.
+    /// Share of the route's flows, relative to the other weights; 0 means none.
     pub weight: u32,
-    /// Open flows that one target of the service holds at most.
+    /// Maximum of open flows at one target of the service.
     pub max_flows: u32,
 }
 
 impl Routes {
-    /// The service for `flow`: the same at every balancer with this version.
+    /// The service for `flow`, chosen by the flow's hash: the same at every balancer
+    /// with this version.
     #[must_use]
     pub fn service_for(&self, flow: Flow) -> Option<&WeightedService> {
         self.route_for(flow).map(|(_, weighted)| weighted)
     }
 
-    /// The route of `flow`, and the service for it.
+    /// The route of `flow` and the service chosen for it; none without a route or
+    /// without a positive weight.
     #[must_use]
     pub fn route_for(&self, flow: Flow) -> Option<(&Route, &WeightedService)> {
         let route = self.by_address.get(&flow.service)?;
@@ -62,9 +64,9 @@
         let mut point = flow.hash64() % total;
         let weighted = services.iter().find(|s| {
             let weight = u64::from(s.weight);
-            let here = point < weight;
+            let found = point < weight;
             point = point.saturating_sub(weight);
-            here
+            found
         });
         weighted.map(|s| (route, s))
     }
--- a/src/steering/rtt.rs
+++ b/src/steering/rtt.rs
@@ -1,16 +1,15 @@
-//! How long agents take to answer, as the field estimates retransmission
-//! timeouts: a smoothed mean and deviation.
+//! Adaptive response timeout from a smoothed mean and deviation, as in RFC 6298.
 
 use std::time::Duration;
 
-/// Weight of a new sample in the mean and in the deviation.
+/// Weight of a new sample in the mean and in the deviation (RFC 6298 alpha and beta).
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// Deviations above the mean after which an answer is taken as missing.
+/// Deviations that the timeout lies above the mean.
 const DEVIATIONS: f64 = 4.0;
 
-/// The estimate, in seconds.
+/// Estimator of round-trip times, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RttEstimator {
     mean: Option<f64>,
@@ -18,7 +17,7 @@
 }
 
 impl RttEstimator {
-    /// Notes that an answer took `sample`.
+    /// Adds a measured round-trip time.
     pub fn record_sample(&mut self, sample: Duration) {
         let x = sample.as_secs_f64();
         match &mut self.mean {
@@ -30,10 +29,10 @@
         }
     }
 
-    /// After how long an answer is taken as missing.
+    /// The response timeout, within `min` and `max`.
     #[must_use]
-    pub fn timeout(&self, least: Duration, most: Duration) -> Duration {
+    pub fn timeout(&self, min: Duration, max: Duration) -> Duration {
         let mean = self.mean.unwrap_or_default();
-        Duration::from_secs_f64(mean + DEVIATIONS * self.deviation).clamp(least, most.max(least))
+        Duration::from_secs_f64(mean + DEVIATIONS * self.deviation).clamp(min, max.max(min))
     }
 }
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -1,5 +1,5 @@
-//! The state of a search for a flow's owner: who was asked, what each said, and
-//! the packets kept meanwhile.
+//! State of a search for a flow's owner: queried agents, their answers and the packets
+//! buffered meanwhile.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -15,42 +15,42 @@
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
 pub struct OwnerSearch {
-    /// The service it is for.
+    /// Service of the flow's route.
     pub service: Arc<str>,
-    /// Packets that have come meanwhile; of a search that found nobody, the last.
+    /// Buffered packets; only the last once a round ended without an owner.
     pub(super) packets: VecDeque<Vec<u8>>,
-    /// The caller's last acknowledgement, and whether there was one.
+    /// The caller's last acknowledgement number, valid if `has_ack`.
     pub(super) ack: u32,
     pub(super) has_ack: bool,
-    /// When the wave's time to answer is over; none once the round is decided.
+    /// When the current wave times out; none between rounds.
     pub wave_deadline: Option<Instant>,
-    /// When the wave was asked.
+    /// When the current wave was queried.
     pub(super) wave_started: Option<Instant>,
-    /// Agents that the round is to ask, in order.
+    /// Agents not queried yet in this round, in order.
     pub(super) unqueried: VecDeque<SocketAddrV4>,
-    /// Waves of the round so far.
+    /// Index of the next wave of the round.
     pub(super) wave_index: usize,
-    /// Agents of the service.
+    /// Number of agents of the service when the round started.
     pub agent_count: u32,
-    /// Agents asked that have not answered.
+    /// Queried agents whose answers are outstanding.
     pub pending: Vec<SocketAddrV4>,
-    /// Agents that did not answer in time.
+    /// Queried agents that did not answer in time.
     pub(super) silent: Vec<SocketAddrV4>,
-    /// Agents that may have forgotten the flow.
+    /// Agents that may have forgotten the flow ([`FlowStatus::Unverified`]).
     pub unverified: Vec<SocketAddrV4>,
-    /// Agents whose targets were tried, by this balancer or another.
+    /// Agents at whose targets the flow was tried, by any balancer.
     pub tried: Vec<SocketAddrV4>,
-    /// The agent that was named as the flow's owner.
+    /// Agent that another one, or it itself, named as the flow's owner.
     pub(super) named_owner: Option<SocketAddrV4>,
-    /// The named one, while its target is tried.
+    /// The named owner once the flow was tried at its target in this round.
     pub(super) named_trial: Option<SocketAddrV4>,
-    /// Questions and answers of the round.
+    /// Queries and answers of the round.
     pub(super) message_count: u32,
 }
 
 impl OwnerSearch {
-    /// Whether every agent of the service said that its target does
-    /// not hold the flow: the target that did is gone.
+    /// Whether every agent of the service answered that its target does not hold the
+    /// flow.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.agent_count > 0 && self.all_answered() && self.unverified.is_empty()
@@ -61,13 +61,12 @@
         self.all_queried() && self.silent.is_empty()
     }
 
-    /// Whether every agent of the service was asked, and had its time to answer.
+    /// Whether every agent of the round was queried and answered or timed out.
     pub(super) fn all_queried(&self) -> bool {
         self.unqueried.is_empty() && self.pending.is_empty()
     }
 
-    /// An agent answered that it does not know the flow, or may have forgotten
-    /// it ([`FlowStatus::Unverified`]), or that its target was tried ([`FlowStatus::NotOwner`]).
+    /// Records an answer other than [`FlowStatus::Held`].
     pub(super) fn record_answer(&mut self, from: SocketAddrV4, status: FlowStatus) {
         self.unqueried.retain(|a| *a != from);
         for list in [&mut self.pending, &mut self.silent, &mut self.unverified] {
@@ -81,12 +80,12 @@
         }
     }
 
-    /// Whether a target that is being tried has not answered yet.
+    /// Whether the outcome of a trial is outstanding.
     pub(super) fn has_pending_trial(&self) -> bool {
         self.unverified.iter().any(|a| self.tried.contains(a))
     }
 
-    /// Takes the agents of the next wave out of those left.
+    /// Removes the agents of the next wave from those not queried yet.
     pub(super) fn next_wave(&mut self, waves: &[usize]) -> Vec<SocketAddrV4> {
         let size = waves.get(self.wave_index).copied().unwrap_or(usize::MAX);
         self.wave_index += 1;
@@ -97,20 +96,20 @@
         Question { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
     }
 
-    /// Bytes of the packets kept.
+    /// Size of the buffered packets.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.packets.iter().map(Vec::len).sum()
     }
 
-    /// Keeps only the last packet, which may be tried at targets: the caller
-    /// sends all of them again.
+    /// Drops all buffered packets but the last, which trials need; the caller
+    /// retransmits the others.
     pub(super) fn keep_last(&mut self) {
         let excess = self.packets.len().saturating_sub(1);
         self.packets.drain(..excess);
     }
 
-    /// Keeps a packet of the flow, if `policy` has room for it beside the `others`
-    /// bytes kept for other flows.
+    /// Buffers a packet unless that exceeds the limits of `policy`; `others` is the size
+    /// of the packets buffered for other flows. One packet is always buffered.
     pub(super) fn buffer_packet(
         &mut self,
         seg: &Segment,
@@ -128,8 +127,8 @@
         }
     }
 
-    /// Has `agents` try their targets with the flow's last packet; says whether
-    /// there was one.
+    /// Has `agents` try the last packet at their targets. Returns false if no packet is
+    /// buffered.
     pub(super) fn forward_trial(
         &mut self,
         agents: &[SocketAddrV4],
--- a/src/steering/state.rs
+++ b/src/steering/state.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers of one flow.
+//! Flow table entries.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -7,24 +7,24 @@
 use super::WeightedService;
 use super::search::OwnerSearch;
 
-/// What is known of a flow.
+/// State of a flow.
 #[derive(Debug)]
 pub enum FlowState {
-    /// It is being opened.
+    /// No agent has taken its open yet.
     Opening(PendingOpen),
-    /// An agent's target holds it.
+    /// The target of a known agent holds it.
     Owned {
-        /// The agent.
+        /// The agent beside the target.
         agent: SocketAddrV4,
         /// The service of its target.
         service: Arc<str>,
     },
-    /// The service's agents are asked for its owner.
+    /// Agents are queried for its owner.
     Searching(OwnerSearch),
 }
 
 impl FlowState {
-    /// By which rule the flow's packets go, in words.
+    /// The state in words, for operators.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Bytes of packets kept until its owner is known.
+    /// Size of the packets buffered until the owner is known.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         match self {
@@ -47,59 +47,57 @@
 /// An open that no agent has taken yet.
 #[derive(Debug)]
 pub struct PendingOpen {
-    /// When the caller's first packet arrived.
+    /// When the first SYN arrived.
     pub arrived_at: Instant,
-    /// The caller's first sequence number, the same in each copy.
+    /// The caller's initial sequence number, which identifies retransmissions.
     pub seq: u32,
-    /// How long it may be kept until an agent takes it.
+    /// How long it is offered before it is refused.
     pub timeout: Duration,
-    /// The service it is for.
+    /// Service of the flow's route.
     pub service: Arc<str>,
-    /// Open flows that a target of the service holds at most.
+    /// Maximum of open flows at one target of the service.
     pub max_flows: u32,
-    /// The caller's packet.
+    /// The SYN as received.
     pub packet: Vec<u8>,
-    /// The agents it was offered to in this round, in order.
+    /// Agents offered it in this round, in order.
     pub offered_to: Vec<SocketAddrV4>,
     /// When it was last offered.
     pub offered_at: Instant,
-    /// Offers that were not answered in time, and rounds that have ended: each
-    /// lengthens the pause until the next.
+    /// Offers that were not answered in time; each doubles the next response timeout.
     pub timeout_count: u32,
-    /// See `unanswered`.
+    /// Completed rounds of offers; each doubles the delay before the next.
     pub round_count: u32,
-    /// When to look at it again; entries of the queue for other times are old.
+    /// Its current timer. Queue entries for other times are stale.
     pub deadline: Instant,
-    /// Every agent of the round has answered; the next round comes at `due`.
+    /// The round is over; the next one starts at `deadline`.
     pub in_backoff: bool,
-    /// Some of them did not answer or had not heard their target yet, so a
-    /// refusal by the others is not final.
+    /// Some agents did not answer or may take the open later, so that refusals by the
+    /// others are not final.
     pub inconclusive: bool,
 }
 
 impl PendingOpen {
-    /// The open in `packet`, for `share`'s service, offered to nobody yet and
-    /// kept for `patience` at most.
+    /// An open received at `arrived_at` in `packet`, not offered to any agent yet.
     #[must_use]
     pub fn new(
         weighted: &WeightedService,
         seq: u32,
         packet: &[u8],
-        since: Instant,
-        patience: Duration,
+        arrived_at: Instant,
+        timeout: Duration,
     ) -> Self {
         Self {
-            arrived_at: since,
+            arrived_at,
             seq,
-            timeout: patience,
+            timeout,
             service: weighted.service.clone(),
             max_flows: weighted.max_flows,
             packet: packet.to_vec(),
             offered_to: Vec::new(),
-            offered_at: since,
+            offered_at: arrived_at,
             timeout_count: 0,
             round_count: 0,
-            deadline: since,
+            deadline: arrived_at,
             in_backoff: false,
             inconclusive: false,
         }
