--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,5 +1,5 @@
-//! A balancer that did not run for a while: what it knew before is no proof of what has
-//! become of agents and flows since.
+//! A balancer process that did not run for a while: what it knew before no longer proves
+//! anything about agents and flows.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How long the balancer does not run: longer than an agent may be silent.
+/// How long the balancer does not run; longer than `dead_after`.
 const PAUSED: Duration = Duration::from_secs(5);
 
 fn packet(s: &mut FlowSteering, now: Instant) -> Wires {
@@ -31,7 +31,7 @@
     w
 }
 
-/// The resets after `agents` have denied the flow, and all others had their time.
+/// Number of resets after `agents` denied the flow and the others timed out.
 fn denied(s: &mut FlowSteering, agents: impl IntoIterator<Item = u8>, now: Instant) -> usize {
     let mut w = packet(s, now);
     for n in agents {
@@ -42,10 +42,10 @@
     w.resets.len() + tick(s, now + 500 * MS).resets.len()
 }
 
-/// Guards against a living flow being reset because its agent was listed while the
-/// balancer did not run: not before the store has answered again are all agents known.
+/// Guards against resetting a live flow whose agent was listed while the balancer did not
+/// run.
 #[test]
-fn newcomer_may_hold_it() {
+fn no_reset_before_store_answers() {
     let now = Instant::now();
     let mut s = steer(3, now);
     let back = now + PAUSED;
@@ -55,10 +55,9 @@
     assert_eq!(denied(&mut s, 1..=3, back + 600 * MS), 1);
 }
 
-/// Guards against a living flow being reset because time in which the balancer did not
-/// run, and asked nobody, counts as an agent's silence.
+/// Guards against resetting a live flow because the pause counts as an agent's silence.
 #[test]
-fn pause_is_no_silence() {
+fn pause_does_not_count_as_silence() {
     let now = Instant::now();
     let mut s = steer(3, now);
     s.roster.record_timeout(agent(3), now + 50 * MS);
@@ -69,10 +68,9 @@
     assert_eq!(denied(&mut s, 1..=2, back + 4_000 * MS), 1, "it was asked for 4 s");
 }
 
-/// Guards against an agent whose entry was taken from the store being dropped because it
-/// was not asked while the balancer did not run.
+/// Guards against removing an unlisted agent because it was not pinged during the pause.
 #[test]
-fn unlisted_stays() {
+fn unlisted_agent_kept_over_pause() {
     let now = Instant::now();
     let mut s = steer(3, now);
     let listed: Vec<_> = (1..=2).map(announced).collect();
@@ -87,7 +85,7 @@
     assert_eq!(s.roster.len(), 2, "it was asked and did not answer for 3 s");
 }
 
-/// A store in which nothing changes: it answers no call that waits.
+/// A store without changes: blocking watches never return.
 #[derive(Clone)]
 struct Quiet;
 
@@ -104,10 +102,10 @@
     }
 }
 
-/// Guards against lost flows being told to nobody for as long as a watch waits, since
-/// what the store said before the pause no longer counts.
+/// Guards against a pending watch delaying the news, after a pause, that the store is
+/// reachable, without which no lost flow is reset.
 #[ntex::test]
-async fn asked_at_once() {
+async fn store_reachability_reported_after_pause() {
     let refresh = Arc::new(Notify::new());
     let source = Source {
         store: Quiet,
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -1,5 +1,4 @@
-//! Flows that a balancer does not know: what it costs to find their owners, and
-//! what bounds it.
+//! Search for the owners of unknown flows: its cost and its limits.
 
 mod common;
 
@@ -40,11 +39,10 @@
     w
 }
 
-/// Flows that a balancer took over after routers moved them: a question to each
-/// flow's home and its answer, or two of each, whether the service has 10
-/// agents or 200.
+/// Finding the owner of a flow takes one or two queries and their answers, whether the
+/// service has 10 agents or 200.
 #[test]
-fn cost_of_finding() {
+fn lookup_cost_independent_of_service_size() {
     let now = Instant::now();
     for agents in [10, 200] {
         let mut before = steer(agents, now);
@@ -56,7 +54,7 @@
             let Some((_, Sent::Open { offer, .. }, _)) = w.peers.first().cloned() else {
                 panic!("{w:?}");
             };
-            // Every second open is passed on by the first agent to the second.
+            // The first agent passes every second open on to the second.
             let passed = port % 2 == 0;
             let owner = if passed { offer.second.unwrap() } else { offer.first };
             let hint = passed.then_some(owner);
@@ -81,10 +79,9 @@
     }
 }
 
-/// A search carries no data, each agent is asked once, and packets that come
-/// meanwhile wait within a bound.
+/// Queries carry no packets, an agent is queried once, and a flow's buffer is bounded.
 #[test]
-fn packets_kept() {
+fn buffered_packets_bounded() {
     let now = Instant::now();
     let policy = BalancerPolicy { buffer_packets: 3, ..BalancerPolicy::default() };
     let mut s = steer_with(4, policy, now);
@@ -98,10 +95,9 @@
     assert_eq!(w.carried(Mode::Owner).len(), 3);
 }
 
-/// All flows together keep no more than a bound of bytes, but for one packet of
-/// each; what was kept is free again once their owners are found.
+/// The buffers of all flows together are bounded, and are freed once owners are found.
 #[test]
-fn bytes_bounded() {
+fn buffered_bytes_bounded() {
     let now = Instant::now();
     let policy = BalancerPolicy { buffer_bytes: 30, ..BalancerPolicy::default() };
     let mut s = steer_with(1, policy, now);
@@ -112,16 +108,15 @@
         tick(s, now);
         answer(s, agent(1), port, FlowStatus::Held, None, now).carried(Mode::Owner).len()
     };
-    // Packets of six bytes.
+    // Each packet has six bytes.
     assert_eq!(found(&mut s, 1), 5);
     assert_eq!(found(&mut s, 2), 5);
 }
 
-/// Flows whose packets come at the same moment are asked for in one datagram an
-/// agent, and no more datagrams go out than the budget has: a loss of power
-/// that makes 2,000 flows unknown must not fill a narrow link with questions.
+/// Guards against queries filling a link when many flows become unknown at once: they are
+/// batched by agent and rate-limited.
 #[test]
-fn asks_bounded() {
+fn query_rate_bounded() {
     let now = Instant::now();
     let policy =
         BalancerPolicy { query_rate: 100.0, query_burst: 10.0, ..BalancerPolicy::default() };
@@ -141,9 +136,9 @@
     assert_eq!(tick(&mut s, now + 100 * MS).asked().len(), 10);
 }
 
-/// A question that the budget holds back is no sign of a silent agent.
+/// Guards against suspecting an agent whose query the rate limit held back.
 #[test]
-fn held_back_not_missed() {
+fn rate_limited_query_is_no_timeout() {
     let now = Instant::now();
     let policy = BalancerPolicy { query_rate: 1.0, query_burst: 1.0, ..BalancerPolicy::default() };
     let mut s = steer_with(4, policy, now);
@@ -158,10 +153,10 @@
     }
 }
 
-/// A caller's packet that overtakes the note of its open: the agent that it was
-/// offered to is asked, not the whole service.
+/// If a packet overtakes the notification of its open, only the agent that the open was
+/// offered to is queried first.
 #[test]
-fn note_overtaken() {
+fn packet_overtakes_open_notification() {
     let now = Instant::now();
     let mut s = steer(30, now);
     let mut w = Wires::default();
@@ -171,16 +166,16 @@
     assert_eq!(tick(&mut s, now).asked(), [first]);
 }
 
-/// The home of a flow that another agent took is told, so that it can name it.
+/// The home agent of a flow that another agent took can name the owner afterwards.
 #[test]
-fn home_told() {
+fn home_agent_told_of_owner() {
     let now = Instant::now();
     let mut s = steer(4, now);
     let mut w = Wires::default();
     s.handle_packet(&syn(1), b"syn", now, &mut w);
     let home = w.opens()[0];
     let Sent::Open { offer, .. } = w.peers[0].1.clone() else { panic!("{w:?}") };
-    // The home is not heard; the next two are offered the open.
+    // The home agent does not answer; the next two are offered the open.
     let w = tick(&mut s, now + 41 * MS);
     let taker = w.opens()[0];
     s.roster.handle_pong(home, SERVICE, 0, now + 42 * MS);
@@ -191,22 +186,15 @@
     assert_eq!(w.peers, [(home, hint, vec![])], "offered {offer:?}");
 }
 
-/// What an agent says that has not heard of flow 1.
+/// Agent `n` answers that it may have forgotten flow 1.
 fn unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Wires {
     answer(s, agent(n), 1, FlowStatus::Unverified, None, now)
 }
 
-/// Seen: while targets left one a second and all processes had been restarted,
-/// hardly a flow was found again for as long as that went on (a quarter of the
-/// requests failed or were late for 12 s). Each search ended at an agent that was
-/// silent for less than 1.2 s, the flow's own for all that was known; in a service
-/// of 60 there was always one. What proved it: of 6,000 searches that ended so, 97
-/// of 100 had tried no target, with 50 and more agents unverified.
-///
-/// An agent that took its entry out of the store has left with its target, and
-/// holds up nothing. One that is still listed may be restarting.
+/// Guards against searches stalling during a release: a silent agent that removed its
+/// listing left with its target, while one still listed may be restarting.
 #[test]
-fn left_not_waited_for() {
+fn departed_agent_does_not_delay_trials() {
     let now = Instant::now();
     for left in [true, false] {
         let mut s = steer(6, now);
@@ -233,11 +221,10 @@
     }
 }
 
-/// An agent that another one names as the flow's owner has restarted and no longer
-/// knows it: its target is tried at once, and nobody else's meanwhile, whoever is
-/// silent.
+/// If the named owner may have forgotten the flow, only its target is tried, without
+/// waiting for silent agents.
 #[test]
-fn named_tried_at_once() {
+fn named_owner_tried_at_once() {
     let now = Instant::now();
     for named_itself in [true, false] {
         let mut s = steer(6, now);
@@ -266,9 +253,9 @@
     }
 }
 
-/// A store that does not answer takes no entry out: nobody is known to have left.
+/// While the store is unreachable, an unlisted agent does not count as departed.
 #[test]
-fn unseen_may_live() {
+fn unreachable_store_proves_no_departure() {
     let now = Instant::now();
     let mut s = steer(6, now);
     s.roster.record_timeout(agent(6), now + 50 * MS);
@@ -282,15 +269,10 @@
     assert!(tick(&mut s, at + 41 * MS).carried(Mode::Try).is_empty());
 }
 
-/// Seen: after a loss of power in the middle of a release, no lost flow was reset
-/// for 10 s. Each search ended at an agent that was silent for less than 4 s; of
-/// 100 there always was one on its way out. What proved it: these agents had
-/// answered before, beside targets whose ports were closed.
-///
-/// An agent that said that its target had ended holds up nothing once it is silent,
-/// until the store names a new start or it says otherwise.
+/// Guards against lost flows not being reset during a release: a silent agent that
+/// reported its target's end delays nothing until its target starts again.
 #[test]
-fn ended_not_waited_for() {
+fn ended_target_does_not_delay_reset() {
     let now = Instant::now();
     let other =
         |n, status, s: &mut FlowSteering, port, at| answer(s, agent(n), port, status, None, at);
--- a/tests/steer.rs
+++ b/tests/steer.rs
@@ -1,5 +1,5 @@
-//! A balancer's decisions: to which agents a packet goes, what is refused at
-//! once, and how long it keeps what cannot be placed yet.
+//! Flow steering of a balancer: which agents a packet goes to, which flows are refused or
+//! reset, and how long opens are retried.
 
 mod common;
 
@@ -28,7 +28,7 @@
     w
 }
 
-/// Takes a packet, and does what a wake-up does after it.
+/// Handles a packet and then due timers, as the event loop does.
 fn packet(s: &mut FlowSteering, seg: jujubepost::flow::Segment, now: Instant) -> Wires {
     let mut w = Wires::default();
     s.handle_packet(&seg, b"packet", now, &mut w);
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn owner_remembered() {
+fn known_owner_gets_packets() {
     let now = Instant::now();
     let mut s = steer(3, now);
     let first = packet(&mut s, syn(1), now).opens()[0];
     note(&mut s, first, 1, FlowStatus::Held, now);
     let w = packet(&mut s, data(1, 1_001, 1, 10), now);
     assert_eq!(w.carried(Mode::Owner), [first]);
-    // A copy of the open goes where the first went.
+    // A retransmitted SYN goes to the same agent.
     assert_eq!(packet(&mut s, syn(1), now + 200 * MS).opens(), [first]);
 }
 
 #[test]
-fn silent_agents_left() {
+fn silent_agent_replaced_and_pinged() {
     let now = Instant::now();
     let mut s = steer(4, now);
     let first = packet(&mut s, syn(1), now).opens()[0];
@@ -71,29 +71,29 @@
 }
 
 #[test]
-fn unknown_flow_asked() {
+fn unknown_flow_queried_in_waves() {
     let now = Instant::now();
     let mut s = steer(3, now);
-    // Its home first, then the others.
+    // The home agent first, then the others.
     let home = packet(&mut s, data(1, 1_001, 77, 10), now).asked();
     assert_eq!(home.len(), 1);
     let others = note(&mut s, home[0], 1, FlowStatus::Unknown, now).asked();
     let mut all = [home.clone(), others.clone()].concat();
     all.sort();
     assert_eq!(all, [agent(1), agent(2), agent(3)]);
-    // The owner gets the packet that was kept, and those that follow.
+    // The owner gets the buffered packet and those that follow.
     let w = note(&mut s, others[0], 1, FlowStatus::Held, now);
     assert_eq!(w.carried(Mode::Owner), [others[0]]);
     assert_eq!(packet(&mut s, data(1, 1_011, 77, 10), now).carried(Mode::Owner), [others[0]]);
-    // The agent was restarted and its target does not hold it: asked again.
+    // The owner restarted and denies the flow: queried again.
     note(&mut s, others[0], 1, FlowStatus::Unknown, now);
     assert_eq!(packet(&mut s, data(1, 1_011, 77, 10), now).asked(), home);
 }
 
-/// A flow is reset as lost only when every agent denies it for certain, and
-/// the store says who they are.
+/// Guards against resetting a live flow: every agent must deny it, and the store must be
+/// reachable.
 #[test]
-fn lost_flow_reset() {
+fn reset_only_if_every_agent_denies() {
     let now = Instant::now();
     for (sees, statuses, lost) in [
         (true, [FlowStatus::Unknown, FlowStatus::Unknown, FlowStatus::Unknown], true),
@@ -117,12 +117,10 @@
     assert!(tick(&mut s, now + 60 * MS).resets.is_empty(), "one agent is silent");
 }
 
-/// Packets at targets that do not hold a flow are counted: two trials, each at
-/// another target, and no more as long as these have not answered. A pause
-/// between them does not help: of two trials and a third one 2.8 s later, with
-/// none at the flow's own target, the flow counted as misrouted.
+/// Guards against misrouting: no more than two trials while none is answered, however
+/// much time passes.
 #[test]
-fn few_trials() {
+fn trials_limited_until_answered() {
     let now = Instant::now();
     let mut s = steer(4, now);
     let mut tried = Vec::new();
@@ -145,15 +143,15 @@
     assert_eq!(more.len(), 0, "after a pause");
 }
 
-/// What an agent says that has not heard of flow 1.
+/// Agent `n` answers that it may have forgotten flow 1; returns the trials that follow.
 fn unverified(s: &mut FlowSteering, n: u8, at: Instant) -> Vec<SocketAddrV4> {
     note(s, agent(n), 1, FlowStatus::Unverified, at).carried(Mode::Try)
 }
 
-/// Agents that restart: the flow's own may be the one that is silent, so no
-/// trial is spent on the others before it has answered or is out of reach.
+/// No trial is spent on other targets while the silent agent may own the flow and be
+/// restarting.
 #[test]
-fn restart_waited_for() {
+fn trials_wait_for_restarting_agent() {
     let now = Instant::now();
     let mut s = steer(4, now);
     let at = now + 100 * MS;
@@ -162,12 +160,12 @@
         assert!(unverified(&mut s, n, at).is_empty());
     }
     assert!(tick(&mut s, at + 41 * MS).carried(Mode::Try).is_empty(), "agent 4 is silent");
-    // The caller's next copy; agent 4 is back.
+    // The caller retransmits; agent 4 is back.
     let at = at + 600 * MS;
     packet(&mut s, data(1, 1_001, 77, 10), at);
     let tried: Vec<_> = (1..=4).flat_map(|n| unverified(&mut s, n, at)).collect();
     assert_eq!(tried.len(), 2);
-    // One that stays away does not hold up the others for ever.
+    // An agent that stays silent delays trials only for `restart_wait`.
     let mut s = steer(4, now);
     let mut tried = Vec::new();
     for round in 0..4 {
@@ -179,11 +177,10 @@
     assert_eq!(tried, [0, 0, 0, 2]);
 }
 
-/// Once the two likeliest targets gave a packet back, all others are tried at
-/// once if the flow's own is among them, and a flow that none holds is reset:
-/// its caller need not wait for its time limit.
+/// After the two likeliest targets reject a packet, all others are tried at once, and a
+/// flow that none holds is reset.
 #[test]
-fn rest_tried_at_once() {
+fn remaining_targets_tried_after_rejections() {
     let now = Instant::now();
     let mut s = steer(5, now);
     packet(&mut s, data(1, 1_001, 77, 10), now);
@@ -200,10 +197,10 @@
     assert_eq!(resets, [0, 0, 1]);
 }
 
-/// Trials of another balancer count, and where an agent is out of reach or the
-/// list of agents may not be current, there are no more than two in all.
+/// Trials of another balancer count towards the limit, which holds until the roster is
+/// complete.
 #[test]
-fn foreign_counts() {
+fn trials_of_other_balancers_count() {
     let now = Instant::now();
     let mut s = steer(5, now);
     s.set_store_reachable(false, now);
@@ -222,7 +219,7 @@
 }
 
 #[test]
-fn unservable_refused() {
+fn unservable_open_refused() {
     let now = Instant::now();
     let mut s = steer(0, now);
     assert_eq!(packet(&mut s, syn(1), now).resets.len(), 1, "no agent of the service");
@@ -235,10 +232,10 @@
     assert_eq!(note(&mut s, agent(1), 3, full, now).resets.len(), 1, "all are full");
 }
 
-/// Right after the store's return agents are still being listed anew, and
-/// targets that have just started have not reported: opens are kept for that.
+/// Guards against refusing opens while agents are being listed again or their targets
+/// have not reported yet.
 #[test]
-fn kept_while_starting() {
+fn open_retried_while_agents_start() {
     let now = Instant::now();
     let mut s = steer(0, now);
     s.set_store_reachable(false, now);
@@ -253,10 +250,10 @@
     assert_eq!(late.resets.len(), 1, "its caller gives it up now");
 }
 
-/// Load of an overload: a busy service is asked again each 100 ms, by few
-/// offers, and the caller gets its answer long before its time limit.
+/// Guards against a flood of offers to an overloaded service: few each round, one round
+/// each 100 ms.
 #[test]
-fn busy_paced() {
+fn offers_to_busy_service_limited() {
     let now = Instant::now();
     let mut s = steer(10, now);
     let mut w = packet(&mut s, syn(1), now);
@@ -274,7 +271,7 @@
 }
 
 #[test]
-fn parked_until_config() {
+fn packets_queued_until_config() {
     let now = Instant::now();
     let mut s = FlowSteering::new(balancer(), ZONE.into(), Duration::from_secs(60));
     assert!(packet(&mut s, syn(1), now).peers.is_empty());
@@ -287,17 +284,17 @@
 }
 
 #[test]
-fn config_never_back() {
+fn older_config_ignored() {
     let mut s = steer(1, Instant::now());
     assert!(s.apply_routes(routes(9)));
     assert!(!s.apply_routes(routes(7)));
     assert_eq!(s.config_version(), Some(9));
 }
 
-/// An agent that the store no longer lists (its lease lapsed, or its key was
-/// taken away) stays as long as it answers, and is told to list itself.
+/// An agent that the store no longer lists is kept while it answers pings, which tell it
+/// that it is unlisted.
 #[test]
-fn unlisted_but_alive() {
+fn unlisted_agent_kept_while_answering() {
     let now = Instant::now();
     let mut s = steer(2, now);
     s.roster.update(&[announced(1)], now);
@@ -314,17 +311,16 @@
 }
 
 #[test]
-fn reused_address_dropped() {
+fn agent_of_other_service_removed() {
     let now = Instant::now();
     let mut s = steer(2, now);
     s.roster.handle_pong(agent(2), "fieldlog", 0, now);
     assert_eq!(s.roster.agents_of(SERVICE).collect::<Vec<_>>(), [agent(1)]);
 }
 
-/// A balancer cut off from all agents says so, so that another gets its
-/// callers, and no longer once one answers.
+/// A balancer that reaches no agent is unready until one answers.
 #[test]
-fn cut_off_not_ready() {
+fn unready_while_all_agents_silent() {
     let now = Instant::now();
     let mut s = steer(2, now);
     assert!(s.is_ready());
@@ -337,11 +333,10 @@
     assert!(!s.is_ready());
 }
 
-/// All agents and balancers were restarted and forgot every flow: the targets
-/// tried first are those that the open was offered to, so that two trials
-/// find nearly all flows.
+/// After all agents and balancers restarted, the first trials go to the agents that the
+/// open was offered to.
 #[test]
-fn trials_follow_offers() {
+fn trials_start_at_offered_agents() {
     let now = Instant::now();
     let mut found = 0;
     for port in 1..=200 {
@@ -362,11 +357,9 @@
     assert_eq!(found, 200);
 }
 
-/// An agent that does not answer is no second candidate: the first would pass
-/// opens on to it, where they are lost (a service of three of which two had
-/// left answered each open 40 to 1,400 ms late).
+/// Guards against losing opens that the first agent passes on to a silent second one.
 #[test]
-fn dead_second_left_out() {
+fn silent_agent_not_second_choice() {
     let now = Instant::now();
     let mut s = steer(2, now);
     s.roster.record_timeout(agent(2), now + 50 * MS);
@@ -377,11 +370,10 @@
     }
 }
 
-/// An agent that has not answered for 4 s no longer keeps a flow from being
-/// known as lost, if most others deny it: its VM was taken away while the store
-/// could not be told.
+/// Guards against a removed VM delaying resets: an agent silent for 4 s counts as not
+/// holding the flow if most others deny it.
 #[test]
-fn long_silent_does_not_hold_up() {
+fn dead_agent_does_not_delay_reset() {
     let now = Instant::now();
     for (silent, others, lost) in [(4_100, 2, true), (2_000, 2, false), (4_100, 0, false)] {
         let mut s = steer(3, now);
@@ -394,7 +386,7 @@
         let resets = tick(&mut s, at + 41 * MS).resets;
         assert_eq!(resets.len(), usize::from(lost), "{silent} ms, {others} others");
     }
-    // Also where the balancer remembers it as the flow's agent.
+    // Also if the flow table names it as the owner.
     let mut s = steer(3, now);
     packet(&mut s, syn(1), now);
     note(&mut s, agent(3), 1, FlowStatus::Held, now);
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -1,5 +1,4 @@
-//! Agents in suspicion: how often balancers ask them, whatever their number, and when
-//! they are dropped.
+//! Suspected agents: the rate of pings to them and their removal.
 
 mod common;
 
@@ -13,7 +12,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Agents of a fleet, of which each service has ten.
+/// Agents of services with ten agents each.
 fn fleet(agents: u16) -> Vec<ListedAgent> {
     let one = |n: u16| {
         let [high, low] = n.to_be_bytes();
@@ -29,11 +28,10 @@
     w.peers.into_iter().filter(|(_, m, _)| matches!(m, Sent::Ping { .. })).map(|p| p.0).collect()
 }
 
-/// The store lets the leases of a whole fleet lapse at once: without a bound each
-/// balancer would ask 23,000 agents three times a second. They take turns, within
-/// the rate that its VM bears; none that answers is dropped, however late its turn.
+/// Guards against a flood of pings when all leases lapse at once: the rate is bounded,
+/// every agent is pinged, and none that answers is removed.
 #[test]
-fn lapse_of_all() {
+fn ping_rate_bounded_when_all_leases_lapse() {
     let now = Instant::now();
     let policy = BalancerPolicy::default().scaled_to_vm(1_000.0, 0.25);
     let rate = f64::from(policy.suspicion.ping_rate);
@@ -61,10 +59,9 @@
     u16::from_be_bytes([high, low])
 }
 
-/// Of a fleet whose entries are gone, those that do not answer are dropped once they
-/// were asked and had their 3 s, not before their turn has come.
+/// Guards against removing an unlisted agent before it was pinged and had 3 s to answer.
 #[test]
-fn dropped_once_asked() {
+fn unlisted_agent_removed_only_after_ping() {
     let now = Instant::now();
     let mut s = steer_with(0, BalancerPolicy::default().scaled_to_vm(4.0, 0.12), now);
     let all = fleet(2_000);
