--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -27,7 +27,7 @@
     /// Upper bound of the response timeout, backoff included.
     #[serde(rename = "slowest", with = "millis")]
     pub max_timeout: Duration,
-    /// Delay before an open that every agent turned down is offered again.
+    /// Delay before the next round of offers of an open that no agent took.
     #[serde(rename = "round", with = "millis")]
     pub retry_delay: Duration,
     /// Upper bound of that delay, which doubles with each round. Equal to
@@ -92,7 +92,7 @@
     /// Packets queued until the first configuration arrives.
     #[serde(rename = "parked")]
     pub max_parked: usize,
-    /// Interval at which queued packets are checked against the configuration.
+    /// Interval at which the queue is checked for a new configuration.
     #[serde(rename = "unpark", with = "millis")]
     pub unpark_interval: Duration,
     /// Failure detection of agents.
@@ -187,11 +187,11 @@
 /// Share of the query rate that pings may use.
 const PING_SHARE: f64 = 0.25;
 
-/// When a balancer suspects an agent and when it takes it for dead.
+/// When a balancer suspects an agent and when it considers it dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SuspicionPolicy {
-    /// Interval between two pings to one suspected agent: it is unlisted or did not
+    /// Interval between two pings to one suspected agent, which is unlisted or did not
     /// answer.
     #[serde(rename = "ping", with = "millis")]
     pub ping_interval: Duration,
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -276,7 +276,7 @@
         }
     }
 
-    /// How long to wait for an answer of an agent.
+    /// The current response timeout for agents.
     fn response_timeout(&self) -> Duration {
         self.rtt.timeout(self.policy.min_timeout, self.policy.max_timeout)
     }
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -9,7 +9,7 @@
 use crate::metrics::{self, Refusal};
 
 impl FlowSteering {
-    /// Decides a round in which some agents did not answer. Dead agents count as not
+    /// Decides the outcome of a round in which some agents did not answer. Dead agents count as not
     /// holding the flow if most agents answered; otherwise the balancer itself may be
     /// partitioned from them.
     pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
@@ -95,12 +95,12 @@
         let all_known = s.all_queried() && s.silent.iter().all(|a| self.roster.has_left(*a));
         let complete = all_known && self.is_roster_current(now);
         let Some(FlowState::Searching(s)) = self.flows.get(flow, now) else { return };
-        let mut left = self.roster.rank_by_likelihood(&s.unverified, &self.zone, flow);
-        left.retain(|a| !s.tried.contains(a));
+        let mut untried = self.roster.rank_by_likelihood(&s.unverified, &self.zone, flow);
+        untried.retain(|a| !s.tried.contains(a));
         let all = complete && s.tried.len() >= limit && !s.has_pending_trial();
         if !all {
-            left.truncate(limit.saturating_sub(s.tried.len()));
+            untried.truncate(limit.saturating_sub(s.tried.len()));
         }
-        s.forward_trial(&left, out);
+        s.forward_trial(&untried, out);
     }
 }
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -61,7 +61,8 @@
         self.unlisted_since.is_some() || self.silent_since.is_some()
     }
 
-    /// Whether it is listed, or was unlisted, unheard and pinged for less than `timeout`.
+    /// Whether it stays in the roster: it is listed, or had less than `timeout` to answer
+    /// since it became unlisted.
     fn is_retained(&self, timeout: Duration, now: Instant) -> bool {
         let since = |at: Instant| at.max(self.last_heard).max(self.deferred_until.unwrap_or(at));
         self.unlisted_since.is_none_or(|at| now.duration_since(since(at)) < timeout)
@@ -143,7 +144,7 @@
     }
 
     /// Updates the roster to the agents that the store lists; returns whether any was
-    /// added or became unlisted.
+    /// added, listed again or became unlisted.
     pub fn update(&mut self, agents: &[ListedAgent], now: Instant) -> bool {
         let listed: HashSet<SocketAddrV4> = agents.iter().map(|a| a.addr).collect();
         let mut changed = false;
@@ -396,13 +397,13 @@
         if self.next_ping_at.is_none_or(|at| at > now) {
             return;
         }
-        let dropped: Vec<SocketAddrV4> = self
+        let expired: Vec<SocketAddrV4> = self
             .agents
             .iter()
             .filter(|(_, a)| !a.is_retained(self.suspicion.unlisted_timeout, now))
             .map(|(addr, _)| *addr)
             .collect();
-        for addr in dropped {
+        for addr in expired {
             self.remove(addr);
         }
         self.ping_budget.refill(self.suspicion.ping_rate.into(), now);
@@ -411,10 +412,10 @@
         let mut waiting: Vec<_> =
             self.agents.iter_mut().filter(|(_, a)| a.is_suspected() && due(a)).collect();
         waiting.sort_by_key(|(_, a)| a.last_ping);
-        let mut spent = false;
+        let mut throttled = false;
         for (addr, a) in waiting {
-            if spent || !self.ping_budget.try_take() {
-                spent = true;
+            if throttled || !self.ping_budget.try_take() {
+                throttled = true;
                 a.defer(now);
                 continue;
             }
@@ -427,7 +428,7 @@
         }
         let suspected = self.agents.values().filter(|a| a.is_suspected());
         let next = suspected.filter_map(|a| a.last_ping).min().map(|at| at + interval);
-        self.next_ping_at = if spent { Some(now + PING_RETRY_INTERVAL) } else { next };
+        self.next_ping_at = if throttled { Some(now + PING_RETRY_INTERVAL) } else { next };
     }
 }
 
