--- a/src/agent/admit.rs
+++ b/src/agent/admission.rs
@@ -7,7 +7,7 @@
 
 /// What an agent decides about a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum Admission {
     /// Accept it.
     Accept,
     /// Refuse it as not run.
@@ -26,12 +26,12 @@
     stopping: bool,
     flows: usize,
     max: usize,
-) -> Admit {
+) -> Admission {
     if stopping || drain.is_some_and(|d| d >= grace) {
-        Admit::Refuse(Refusal::Draining)
+        Admission::Refuse(Refusal::Draining)
     } else if flows >= max {
-        Admit::Refuse(Refusal::Full)
+        Admission::Refuse(Refusal::Full)
     } else {
-        Admit::Accept
+        Admission::Accept
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -8,11 +8,11 @@
 //! every balancer), when it holds as many flows as the profile allows, or
 //! when the target cannot be reached.
 
-pub mod admit;
+pub mod admission;
+pub mod config;
 pub mod flow;
 pub mod mailbox;
-pub mod orders;
-pub mod place;
+pub mod placement;
 mod state;
 
 use std::cell::RefCell;
@@ -24,9 +24,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, mpsc, watch};
 
-pub use admit::{Admit, admit};
-use orders::Orders;
-pub use place::{Step, place};
+pub use admission::{Admission, admit};
+use config::Orders;
+pub use placement::{OfferAction, decide_offer};
 use state::Agent;
 
 use crate::admin::{self, Board};
--- a/src/agent/place.rs
+++ b/src/agent/placement.rs
@@ -7,51 +7,55 @@
 //! that may not take it passes it on. Refusing is left to when neither may. An
 //! open carries no bytes, so passing it on replays nothing.
 
-use super::Admit;
+use super::Admission;
 use crate::metrics::Refusal;
 use crate::wire::{Offer, OfferStage};
 
 /// What an agent does with an offered open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum OfferAction {
     /// Takes the flow.
-    Take,
+    Accept,
     /// Passes it to the other candidate.
-    Pass(Offer),
+    PassOn(Offer),
     /// Refuses it as not run: neither candidate may take it.
     Refuse(Refusal),
 }
 
 /// The load of a candidate that may not take the flow.
-pub const UNABLE: u32 = u32::MAX;
+pub const UNAVAILABLE_LOAD: u32 = u32::MAX;
 
 /// What an agent that is admitted as `admit`, with `load`, does with `offer`.
 #[must_use]
-pub fn place(admit: Admit, load: u32, offer: Offer) -> Step {
-    let to = |stage| Step::Pass(Offer { stage, ..offer });
-    let load = load.min(UNABLE - 1);
+pub fn decide_offer(admit: Admission, load: u32, offer: Offer) -> OfferAction {
+    let to = |stage| OfferAction::PassOn(Offer { stage, ..offer });
+    let load = load.min(UNAVAILABLE_LOAD - 1);
     let alone = offer.second.is_none();
     match (admit, offer.stage) {
-        (Admit::Accept, OfferStage::Take | OfferStage::Last) => Step::Take,
-        (Admit::Accept, OfferStage::Ask) if alone || load == 0 => Step::Take,
-        (Admit::Accept, OfferStage::Ask) => to(OfferStage::Compare { load }),
-        (Admit::Accept, OfferStage::Compare { load: theirs }) if lighter(load, theirs) => {
-            Step::Take
+        (Admission::Accept, OfferStage::Take | OfferStage::Last) => OfferAction::Accept,
+        (Admission::Accept, OfferStage::Ask) if alone || load == 0 => OfferAction::Accept,
+        (Admission::Accept, OfferStage::Ask) => to(OfferStage::Compare { load }),
+        (Admission::Accept, OfferStage::Compare { load: theirs }) if lighter(load, theirs) => {
+            OfferAction::Accept
         }
-        (Admit::Accept, OfferStage::Compare { .. }) => to(OfferStage::Last),
-        (Admit::Refuse(reason), OfferStage::Take | OfferStage::Ask | OfferStage::Last) if alone => {
-            Step::Refuse(reason)
+        (Admission::Accept, OfferStage::Compare { .. }) => to(OfferStage::Last),
+        (Admission::Refuse(reason), OfferStage::Take | OfferStage::Ask | OfferStage::Last)
+            if alone =>
+        {
+            OfferAction::Refuse(reason)
         }
-        (Admit::Refuse(_), OfferStage::Take | OfferStage::Ask | OfferStage::Last) => {
-            to(OfferStage::Compare { load: UNABLE })
+        (Admission::Refuse(_), OfferStage::Take | OfferStage::Ask | OfferStage::Last) => {
+            to(OfferStage::Compare { load: UNAVAILABLE_LOAD })
         }
-        (Admit::Refuse(reason), OfferStage::Compare { load: UNABLE }) => Step::Refuse(reason),
-        (Admit::Refuse(_), OfferStage::Compare { .. }) => to(OfferStage::Last),
+        (Admission::Refuse(reason), OfferStage::Compare { load: UNAVAILABLE_LOAD }) => {
+            OfferAction::Refuse(reason)
+        }
+        (Admission::Refuse(_), OfferStage::Compare { .. }) => to(OfferStage::Last),
     }
 }
 
 /// Units of load of one busy slot.
-pub const SLOT: u32 = 1_024;
+pub const LOAD_PER_SLOT: u32 = 1_024;
 
 /// The load of an agent with `flows` open, of which `waiting` have sent their
 /// target something and heard nothing since.
@@ -60,13 +64,14 @@
 /// as much as all slots. With all slots busy the load is the highest there
 /// is. What the target says of its own load is not used: it lags and lies.
 #[must_use]
-pub fn load(flows: u32, waiting: u32, slots: u32, max: u32) -> u32 {
+pub fn slot_load(flows: u32, waiting: u32, slots: u32, max: u32) -> u32 {
     if waiting >= slots {
-        return UNABLE - 1;
+        return UNAVAILABLE_LOAD - 1;
     }
-    let open = u64::from(flows) * u64::from(slots) * u64::from(SLOT) / u64::from(max.max(1));
-    let busy = u64::from(waiting) * u64::from(SLOT);
-    u32::try_from(open + busy).unwrap_or(UNABLE - 1)
+    let open =
+        u64::from(flows) * u64::from(slots) * u64::from(LOAD_PER_SLOT) / u64::from(max.max(1));
+    let busy = u64::from(waiting) * u64::from(LOAD_PER_SLOT);
+    u32::try_from(open + busy).unwrap_or(UNAVAILABLE_LOAD - 1)
 }
 
 /// The load of an agent whose target queues what its slots cannot take at
@@ -74,10 +79,10 @@
 /// `per_flow`. It goes on growing past the slots, so that of two targets that
 /// are both full the one with the shorter queue is lighter.
 #[must_use]
-pub fn backlog(flows: u32, waiting: u32, per_flow: u32) -> u32 {
-    let busy = u64::from(waiting) * u64::from(SLOT);
+pub fn backlog_load(flows: u32, waiting: u32, per_flow: u32) -> u32 {
+    let busy = u64::from(waiting) * u64::from(LOAD_PER_SLOT);
     let open = u64::from(flows) * u64::from(per_flow);
-    u32::try_from(busy + open).map_or(UNABLE - 1, |load| load.min(UNABLE - 1))
+    u32::try_from(busy + open).map_or(UNAVAILABLE_LOAD - 1, |load| load.min(UNAVAILABLE_LOAD - 1))
 }
 
 /// Whether `load` is below `theirs` by enough to move a flow: by more than a
@@ -85,12 +90,13 @@
 /// follow small differences in long feeds, and pile up where the feeds are
 /// fewest.
 const fn lighter(load: u32, theirs: u32) -> bool {
-    theirs == UNABLE || load.saturating_add(load / 16).saturating_add(SLOT / 8) < theirs
+    theirs == UNAVAILABLE_LOAD
+        || load.saturating_add(load / 16).saturating_add(LOAD_PER_SLOT / 8) < theirs
 }
 
 /// What an agent does with an offer it took when its target then could not
 /// be reached.
 #[must_use]
-pub fn give_back(offer: Offer) -> Step {
-    place(Admit::Refuse(Refusal::Unreachable), UNABLE, offer)
+pub fn decide_unreachable(offer: Offer) -> OfferAction {
+    decide_offer(Admission::Refuse(Refusal::Unreachable), UNAVAILABLE_LOAD, offer)
 }
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -11,11 +11,11 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
+use super::config::Orders;
 use super::flow::{End, Timers, Waiting};
 use super::mailbox::Mailbox;
-use super::orders::Orders;
-use super::place::{self, give_back, place};
-use super::{Admit, Step, admit, flow};
+use super::placement::{self, decide_offer, decide_unreachable};
+use super::{Admission, OfferAction, admit, flow};
 use crate::admin::Board;
 use crate::events;
 use crate::metrics::{self, Refusal, Retry};
@@ -187,21 +187,21 @@
         let since = self.drain.map(|d| d.elapsed());
         let mut admit = admit(since, self.grace, self.closed, open, max as usize);
         if self.down.is_some_and(|at| at.elapsed() < DOWN) {
-            admit = Admit::Refuse(Refusal::Unreachable);
+            admit = Admission::Refuse(Refusal::Unreachable);
         }
         let me = v4(self.me.agent);
         let offer = p.offer.unwrap_or(Offer { first: me, second: None, stage: OfferStage::Take });
-        match place(admit, self.load(max), offer) {
-            Step::Take => self.start(p, offer),
-            Step::Pass(on) => self.pass(p, on),
-            Step::Refuse(reason) => self.refuse(&p, reason),
+        match decide_offer(admit, self.load(max), offer) {
+            OfferAction::Accept => self.start(p, offer),
+            OfferAction::PassOn(on) => self.pass(p, on),
+            OfferAction::Refuse(reason) => self.refuse(&p, reason),
         }
     }
 
     /// This agent's load as offers compare it.
     fn load(&self, max: u32) -> u32 {
         let flows = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
-        place::load(flows, self.waiting.count(), self.me.slots, max)
+        placement::slot_load(flows, self.waiting.count(), self.me.slots, max)
     }
 
     /// Passes an open, of which nothing ran, to the other candidate.
@@ -268,9 +268,9 @@
 /// The target of a flow just taken cannot be reached: nothing ran, so the
 /// open may go to the other candidate.
 async fn unreachable(sock: &UdpSocket, spec: &flow::Spec, p: Packet, offer: Offer) {
-    match give_back(offer) {
-        Step::Pass(on) => pass_on(sock, p, on).await,
-        Step::Take | Step::Refuse(_) => {
+    match decide_unreachable(offer) {
+        OfferAction::PassOn(on) => pass_on(sock, p, on).await,
+        OfferAction::Accept | OfferAction::Refuse(_) => {
             let reason = Refusal::Unreachable;
             metrics::refused(reason);
             spec.send(sock, ReplyKind::Refuse { body: refusal::response(reason) }).await;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -41,7 +41,7 @@
     Response {
         /// What it knows of each flow.
         answers: Vec<Answer>,
-        /// Its load, as [`crate::agent::place::load`].
+        /// Its load, as [`crate::agent::placement::backlog_load`].
         load: u32,
     },
     /// Which agent's target holds a flow: a balancer tells the flow's home, and an
@@ -61,7 +61,7 @@
     Pong {
         /// The service of its target.
         service: &'a str,
-        /// Its load, as [`crate::agent::place::load`].
+        /// Its load, as [`crate::agent::placement::backlog_load`].
         load: u32,
     },
     /// An agent that answered a [`Message::Ping`] says that no process of its target
@@ -149,7 +149,7 @@
     pub flow: Flow,
     /// What became of it.
     pub status: FlowStatus,
-    /// The agent's load, as [`crate::agent::place::load`].
+    /// The agent's load, as [`crate::agent::placement::backlog_load`].
     pub load: u32,
 }
 
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -3,7 +3,7 @@
 //! argument, what is to be sent goes out through [`Transmit`].
 //!
 //! - A new flow is offered to two agents of its route's service, which decide
-//!   between them by what they know of themselves ([`crate::agent::place()`]).
+//!   between them by what they know of themselves ([`crate::agent::decide_offer`]).
 //!   Agents that do not answer in time are left for the next two.
 //! - For a flow that another balancer saw open, agents of the service are asked,
 //!   a few at a time; the packet waits until one says that its target holds it.
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Transmit;
-use crate::agent::place::UNABLE;
+use crate::agent::placement::UNAVAILABLE_LOAD;
 use crate::flow::Flow;
 use crate::policy::SuspicionPolicy;
 use crate::protocol::{FlowStatus, Message};
@@ -80,7 +80,7 @@
     /// Whether it answers and did not say within `unable` that it can take
     /// nothing.
     fn accepts_flows(&self, unable: Duration, now: Instant) -> bool {
-        let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable;
+        let unable = self.load == UNAVAILABLE_LOAD && now.duration_since(self.last_heard) < unable;
         self.silent_since.is_none() && !unable
     }
 }
@@ -237,7 +237,7 @@
                 "agent": addr.to_string(),
                 "service": a.service,
                 "zone": a.zone,
-                "load": if a.load == UNABLE { None } else { Some(a.load) },
+                "load": if a.load == UNAVAILABLE_LOAD { None } else { Some(a.load) },
                 "heard_ms": age(a.last_heard),
                 "silent_ms": a.silent_since.map(age),
                 "unlisted_ms": a.unlisted_since.map(age),
@@ -294,7 +294,7 @@
             a.silent_since = None;
             a.ping_pending = false;
             // Only with a target can it take flows.
-            a.target_ended &= load == UNABLE;
+            a.target_ended &= load == UNAVAILABLE_LOAD;
         }
     }
 
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use super::{FlowPhase, FlowTracker, TrackedFlow, Transmit, pass};
-use crate::agent::place::{self, UNABLE, place};
-use crate::agent::{Admit, Step, admit};
+use crate::agent::placement::{self, UNAVAILABLE_LOAD, decide_offer};
+use crate::agent::{Admission, OfferAction, admit};
 use crate::events;
 use crate::flow::{Flow, ReceivedPacket};
 use crate::metrics::{self, Refusal};
@@ -14,12 +14,16 @@
 
 impl FlowTracker {
     pub(super) fn load(&self, now: Instant) -> u32 {
-        let Some(t) = &self.target else { return UNABLE };
+        let Some(t) = &self.target else { return UNAVAILABLE_LOAD };
         if self.stopping || self.ends_at.is_some() || !t.accepts_flows() || self.is_full(now) {
-            return UNABLE;
+            return UNAVAILABLE_LOAD;
         }
         let flows = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
-        place::backlog(flows, self.waiting + t.warmup_slots(now), self.flow_load.per_flow())
+        placement::backlog_load(
+            flows,
+            self.waiting + t.warmup_slots(now),
+            self.flow_load.per_flow(),
+        )
     }
 
     /// Whether some balancers may not have seen the agent yet.
@@ -34,15 +38,15 @@
         self.full_until.is_some_and(|at| now < at)
     }
 
-    pub(super) fn admit(&self, open: &Open<'_>, now: Instant) -> Admit {
-        let Some(t) = &self.target else { return Admit::Refuse(Refusal::NoTarget) };
+    pub(super) fn admit(&self, open: &Open<'_>, now: Instant) -> Admission {
+        let Some(t) = &self.target else { return Admission::Refuse(Refusal::NoTarget) };
         if self.is_full(now) {
-            return Admit::Refuse(Refusal::Full);
+            return Admission::Refuse(Refusal::Full);
         }
         let queue = if open.aged { self.policy.aged_queue_ratio } else { self.policy.queue_ratio };
         let slots = f64::from(t.slots());
         if f64::from(self.waiting) >= slots + slots * queue {
-            return Admit::Refuse(Refusal::Busy);
+            return Admission::Refuse(Refusal::Busy);
         }
         let leaving = !t.accepts_flows() || self.ends_at.is_some();
         let drain = leaving.then_some(Duration::ZERO);
@@ -71,20 +75,20 @@
             self.remove_flow(flow);
         }
         let admit = if *open.service != *self.service {
-            Admit::Refuse(Refusal::ForeignOwner)
+            Admission::Refuse(Refusal::ForeignOwner)
         } else if self.is_unseen(now) {
-            Admit::Refuse(Refusal::NoTarget)
+            Admission::Refuse(Refusal::NoTarget)
         } else {
             self.admit(open, now)
         };
         let load = self.load(now);
-        match place(admit, load, open.offer) {
-            Step::Take => self.accept_flow(open, came, out),
-            Step::Pass(offer) => {
+        match decide_offer(admit, load, open.offer) {
+            OfferAction::Accept => self.accept_flow(open, came, out),
+            OfferAction::PassOn(offer) => {
                 self.record_hint(flow, offer, now);
                 pass(open, offer, came.packet, out);
             }
-            Step::Refuse(reason) => self.refuse_flow(flow, reason, open.reply_to, now, out),
+            OfferAction::Refuse(reason) => self.refuse_flow(flow, reason, open.reply_to, now, out),
         }
     }
 
--- a/src/tracker/load.rs
+++ b/src/tracker/load.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::agent::place::SLOT;
+use crate::agent::placement::LOAD_PER_SLOT;
 
 /// Over how long the mean is taken: averages over several requests of a flow.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
@@ -47,12 +47,12 @@
     }
 
     /// The load that one open flow stands for, in units of
-    /// [`crate::agent::place::load`].
+    /// [`crate::agent::placement::backlog_load`].
     #[must_use]
     pub fn per_flow(&self) -> u32 {
         let mean =
             if self.flow_secs > 0.0 { self.waiting_secs / self.flow_secs } else { INITIAL_MEAN };
         // Bounded above by one slot, so the cast keeps the value.
-        (mean.clamp(MEAN_RANGE.0, MEAN_RANGE.1) * f64::from(SLOT)) as u32
+        (mean.clamp(MEAN_RANGE.0, MEAN_RANGE.1) * f64::from(LOAD_PER_SLOT)) as u32
     }
 }
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use super::{FlowPhase, FlowTracker, NO_REPLY, TrackedFlow, Transmit, pass, reset};
-use crate::agent::Step;
-use crate::agent::place::give_back;
+use crate::agent::OfferAction;
+use crate::agent::placement::decide_unreachable;
 use crate::events;
 use crate::flow::{Flow, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal, Retry};
@@ -173,12 +173,14 @@
         metrics::retried(Retry::Bounced);
         self.full_until = Some(now + self.policy.full_pause);
         self.expect_answer(Duration::ZERO, now);
-        match give_back(offer) {
-            Step::Pass(on) => {
+        match decide_unreachable(offer) {
+            OfferAction::PassOn(on) => {
                 self.record_hint(flow, on, now);
                 pass(&open, on, packet, out);
             }
-            Step::Take | Step::Refuse(_) => self.refuse_flow(flow, Refusal::Full, reply, now, out),
+            OfferAction::Accept | OfferAction::Refuse(_) => {
+                self.refuse_flow(flow, Refusal::Full, reply, now, out)
+            }
         }
     }
 
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::agent::place::UNABLE;
+use jujubepost::agent::placement::UNAVAILABLE_LOAD;
 use jujubepost::metrics::Refusal;
 use jujubepost::protocol::{FlowStatus, ForwardMode, Message, Query, Question};
 use jujubepost::tracker::{FlowTracker, Incarnation, Report, TargetState};
@@ -402,7 +402,7 @@
     h.handle_target_packet(&answer(1, 5_001, 10), &mut b"answer".to_vec(), now, &mut w, |_| {});
     assert!(h.is_drained());
     h.handle_message(balancer(), &Message::Ping { listed: true }, None, &[], now, &mut w);
-    assert!(w.peers.contains(&(balancer(), Sent::Pong { load: UNABLE }, vec![])));
+    assert!(w.peers.contains(&(balancer(), Sent::Pong { load: UNAVAILABLE_LOAD }, vec![])));
 }
 
 #[test]
@@ -449,7 +449,7 @@
     };
     assert!(!ping(&mut h).contains(&Sent::Ended));
     h.mark_target_ended(&mut Wires::default());
-    assert_eq!(ping(&mut h), [Sent::Pong { load: UNABLE }, Sent::Ended]);
+    assert_eq!(ping(&mut h), [Sent::Pong { load: UNAVAILABLE_LOAD }, Sent::Ended]);
 }
 
 /// Balancers that were told of a target's end take its agent's silence as the end
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use jujubepost::agent::{Admit, admit};
+use jujubepost::agent::{Admission, admit};
 use jujubepost::metrics::Refusal;
 use jujubepost::refusal::{RETRY_AFTER_S, response};
 
@@ -11,19 +11,19 @@
 
 #[test]
 fn accepts_in_service() {
-    assert_eq!(admit(None, GRACE, false, 0, 10), Admit::Accept);
+    assert_eq!(admit(None, GRACE, false, 0, 10), Admission::Accept);
 }
 
 #[test]
 fn drain_within_grace() {
-    assert_eq!(admit(Some(Duration::from_secs(1)), GRACE, false, 0, 10), Admit::Accept);
-    assert_eq!(admit(Some(GRACE), GRACE, false, 0, 10), Admit::Refuse(Refusal::Draining));
+    assert_eq!(admit(Some(Duration::from_secs(1)), GRACE, false, 0, 10), Admission::Accept);
+    assert_eq!(admit(Some(GRACE), GRACE, false, 0, 10), Admission::Refuse(Refusal::Draining));
 }
 
 #[test]
 fn full_and_stopping() {
-    assert_eq!(admit(None, GRACE, false, 10, 10), Admit::Refuse(Refusal::Full));
-    assert_eq!(admit(None, GRACE, true, 0, 10), Admit::Refuse(Refusal::Draining));
+    assert_eq!(admit(None, GRACE, false, 10, 10), Admission::Refuse(Refusal::Full));
+    assert_eq!(admit(None, GRACE, true, 0, 10), Admission::Refuse(Refusal::Draining));
 }
 
 #[test]
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -4,8 +4,10 @@
 
 use std::net::SocketAddrV4;
 
-use jujubepost::agent::place::{Step, UNABLE, give_back, load, place};
-use jujubepost::agent::{Admit, admit};
+use jujubepost::agent::placement::{
+    OfferAction, UNAVAILABLE_LOAD, decide_offer, decide_unreachable, slot_load,
+};
+use jujubepost::agent::{Admission, admit};
 use jujubepost::metrics::Refusal;
 use jujubepost::wire::{Offer, OfferStage};
 
@@ -24,7 +26,7 @@
     Refused,
 }
 
-const LOADS: [u32; 5] = [0, 1, 2, UNABLE - 1, UNABLE];
+const LOADS: [u32; 5] = [0, 1, 2, UNAVAILABLE_LOAD - 1, UNAVAILABLE_LOAD];
 
 fn addr(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
@@ -43,18 +45,18 @@
     for _ in 0..4 {
         let at_first = offer.next_agent() == addr(1);
         let side = if at_first { first } else { second.unwrap() };
-        let mine = if side.admits { Admit::Accept } else { Admit::Refuse(Refusal::Full) };
-        let mut step = place(mine, side.load, offer);
-        if step == Step::Take && !side.reachable {
-            step = give_back(offer);
+        let mine = if side.admits { Admission::Accept } else { Admission::Refuse(Refusal::Full) };
+        let mut step = decide_offer(mine, side.load, offer);
+        if step == OfferAction::Accept && !side.reachable {
+            step = decide_unreachable(offer);
         }
         match step {
-            Step::Take => return if at_first { Course::First } else { Course::Second },
-            Step::Pass(on) => {
+            OfferAction::Accept => return if at_first { Course::First } else { Course::Second },
+            OfferAction::PassOn(on) => {
                 assert_ne!(on.next_agent(), offer.next_agent(), "passed to itself: {offer:?}");
                 offer = on;
             }
-            Step::Refuse(_) => return Course::Refused,
+            OfferAction::Refuse(_) => return Course::Refused,
         }
     }
     panic!("no end: {first:?} {second:?} {stage:?}");
@@ -97,10 +99,10 @@
 
 #[test]
 fn limit_is_exact() {
-    assert_eq!(load(2_000, 0, 5, 2_000), 5 * 1_024, "all connections weigh as all slots");
-    assert_eq!(load(0, 4, 5, 2_000), 4 * 1_024);
-    assert_eq!(load(0, 5, 5, 2_000), UNABLE - 1, "no slot is free");
+    assert_eq!(slot_load(2_000, 0, 5, 2_000), 5 * 1_024, "all connections weigh as all slots");
+    assert_eq!(slot_load(0, 4, 5, 2_000), 4 * 1_024);
+    assert_eq!(slot_load(0, 5, 5, 2_000), UNAVAILABLE_LOAD - 1, "no slot is free");
     let none = std::time::Duration::ZERO;
-    assert_eq!(admit(None, none, false, 9, 10), Admit::Accept);
-    assert_eq!(admit(None, none, false, 10, 10), Admit::Refuse(Refusal::Full));
+    assert_eq!(admit(None, none, false, 9, 10), Admission::Accept);
+    assert_eq!(admit(None, none, false, 10, 10), Admission::Refuse(Refusal::Full));
 }
--- a/tests/steer.rs
+++ b/tests/steer.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::agent::place::UNABLE;
+use jujubepost::agent::placement::UNAVAILABLE_LOAD;
 use jujubepost::metrics::Refusal;
 use jujubepost::protocol::{FlowStatus, FlowUpdate, ForwardMode};
 use jujubepost::steering::FlowSteering;
@@ -22,7 +22,7 @@
     now: Instant,
 ) -> Wires {
     let mut w = Wires::default();
-    let load = if matches!(status, FlowStatus::Refused(_)) { UNABLE } else { 0 };
+    let load = if matches!(status, FlowStatus::Refused(_)) { UNAVAILABLE_LOAD } else { 0 };
     s.handle_note(from, FlowUpdate { flow: flow(port), status, load }, now, &mut w);
     s.tick(now, &mut w);
     w
