--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -201,7 +201,7 @@
         (1..=10).map(|n| (format!("meter-{n}").into(), addr(n))).collect();
     let owners: HashSet<SocketAddrV4> = (1..=10).map(addr).collect();
     let pool = Arc::new(Pool { table: MaglevTable::new(entries), owners });
-    let view = View { routes: HashMap::from([(443, balancer::Route { spec, pool })]) };
+    let view = View { routes: HashMap::from([(443, balancer::Route { profile: spec, pool })]) };
     let packets: Vec<Vec<u8>> = (0..u64::from(FLOWS))
         .map(|flow| {
             let owner = Owner::new(addr(1), 7);
@@ -226,7 +226,7 @@
         let start = Instant::now();
         for p in &packets {
             let p: Packet = wire::decode(p).unwrap();
-            black_box(balancer::decide(&view, &p));
+            black_box(balancer::route_packet(&view, &p));
         }
         start.elapsed()
     })
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use jujubepost::balancer::{Builder, Roster};
+use jujubepost::balancer::{TargetRegistry, ViewBuilder};
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
 use jujubepost::store::mirror::KeyMap;
@@ -70,10 +70,10 @@
     for targets in POINTS {
         let before = rss_kib();
         let mut copy = copy(&keys, targets);
-        let roster = Roster::new(Duration::from_secs(6), Duration::from_secs(300));
-        let mut builder = Builder::new(keys.clone(), roster);
+        let registry = TargetRegistry::new(Duration::from_secs(6), Duration::from_secs(300));
+        let mut builder = ViewBuilder::new(keys.clone(), registry);
         let first = Instant::now();
-        let view = builder.update(&copy, first);
+        let view = builder.build(&copy, first);
         let first_ms = first.elapsed().as_secs_f64() * 1_000.0;
         let memory = rss_kib().saturating_sub(before);
         // One target leaves, one profile changes, by turns.
@@ -86,7 +86,7 @@
                 kv.rev += 1;
             }
             let start = Instant::now();
-            let _ = builder.update(&copy, start);
+            let _ = builder.build(&copy, start);
             spent += start.elapsed();
         }
         let ms = spent.as_secs_f64() * 1_000.0 / f64::from(ROUNDS);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -6,10 +6,10 @@
 //! profiles and targets comes from a watch on the key-value service and is
 //! kept through its outages.
 
-mod builder;
-mod follow;
-pub mod roster;
+pub mod registry;
 pub mod view;
+mod view_builder;
+mod view_updater;
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -20,9 +20,9 @@
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{SignalKind, signal};
 
-pub use builder::Builder;
-pub use roster::Roster;
+pub use registry::TargetRegistry;
 pub use view::{Pool, Route, View};
+pub use view_builder::ViewBuilder;
 
 use crate::admin::{self, Board};
 use crate::metrics::{self, Refusal};
@@ -37,30 +37,30 @@
 
 /// Where a packet goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum RouteDecision {
     /// To this agent, as it is.
     Forward(SocketAddrV4),
     /// An open, offered to these agents.
-    Place(Offer),
+    Offer(Offer),
     /// Nowhere, for this reason.
     Drop(Refusal),
 }
 
 /// Picks the agent for a packet from a view.
 #[must_use]
-pub fn decide(view: &View, p: &Packet) -> Decision {
+pub fn route_packet(view: &View, p: &Packet) -> RouteDecision {
     let Some(route) = view.routes.get(&p.port) else {
-        return Decision::Drop(Refusal::NoProfile);
+        return RouteDecision::Drop(Refusal::NoProfile);
     };
     if p.kind != PacketKind::Open || p.owner.addr().is_some() {
         return match p.owner.addr() {
-            Some(a) if route.pool.owners.contains(&a) => Decision::Forward(a),
-            _ => Decision::Drop(Refusal::ForeignOwner),
+            Some(a) if route.pool.owners.contains(&a) => RouteDecision::Forward(a),
+            _ => RouteDecision::Drop(Refusal::ForeignOwner),
         };
     }
     match offer(route, p.flow, p.seq) {
-        Some(offer) => Decision::Place(offer),
-        None => Decision::Drop(Refusal::NoTarget),
+        Some(offer) => RouteDecision::Offer(offer),
+        None => RouteDecision::Drop(Refusal::NoTarget),
     }
 }
 
@@ -71,7 +71,7 @@
     let key = if attempt < 2 { flow } else { flow.rotate_left(attempt) };
     let (&a, b) = route.pool.table.lookup_pair(key)?;
     let b = b.copied();
-    Some(match (attempt, route.spec.policy, b) {
+    Some(match (attempt, route.profile.policy, b) {
         (1, _, Some(b)) => Offer { first: b, second: Some(a), stage: OfferStage::Take },
         (0, Policy::Least, _) => Offer { first: a, second: b, stage: OfferStage::Ask },
         _ => Offer { first: a, second: b, stage: OfferStage::Take },
@@ -102,12 +102,15 @@
         batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
-    let watcher = tokio::task::spawn_local(follow::follow(
+    let watcher = tokio::task::spawn_local(view_updater::follow(
         source,
         keys.clone(),
         view.clone(),
         board.clone(),
-        follow::Hold { missing: ms(settings.entry.hold_ms), owners: ms(settings.entry.owner_ms) },
+        view_updater::Hold {
+            missing: ms(settings.entry.hold_ms),
+            owners: ms(settings.entry.owner_ms),
+        },
     ));
     let announcer = tokio::task::spawn_local(announce(
         store.clone(),
@@ -143,19 +146,19 @@
         let Ok(mut p) = wire::decode::<Packet>(&buf[..n]) else {
             continue;
         };
-        let decision = decide(&view.borrow(), &p);
+        let decision = route_packet(&view.borrow(), &p);
         let sent = match decision {
-            Decision::Forward(to) => {
+            RouteDecision::Forward(to) => {
                 check_service(&view.borrow(), p.port, to);
                 sock.send_to(&buf[..n], to).await.map(drop)
             }
-            Decision::Place(offer) => {
+            RouteDecision::Offer(offer) => {
                 check_service(&view.borrow(), p.port, offer.first);
                 p.offer = Some(offer);
                 let Ok(bytes) = wire::encode(&p) else { continue };
                 sock.send_to(&bytes, offer.first).await.map(drop)
             }
-            Decision::Drop(reason) => {
+            RouteDecision::Drop(reason) => {
                 metrics::refused(reason);
                 log::debug!("{} flow {:x} dropped: {reason}", events::BALANCER_DROP, p.flow);
                 refuse(sock, &p, reason).await
--- a/src/balancer/roster.rs
+++ b/src/balancer/registry.rs
@@ -29,13 +29,13 @@
 
 /// The targets as last announced, with those that went missing.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct TargetRegistry {
     seen: BTreeMap<Arc<str>, Seen>,
     hold: Duration,
     keep: Duration,
 }
 
-impl Roster {
+impl TargetRegistry {
     /// An empty roster that holds targets missing together for `hold`, and
     /// remembers the owners of established flows for `keep`.
     #[must_use]
@@ -58,7 +58,7 @@
 
     /// The store failed at `now`: the hold of what lapsed together starts
     /// anew, since its holders could not renew. What died alone stays gone.
-    pub fn postpone(&mut self, now: Instant) {
+    pub fn restart_hold(&mut self, now: Instant) {
         for s in self.seen.values_mut().filter(|s| s.together) {
             s.gone = s.gone.map(|_| now);
         }
@@ -79,7 +79,7 @@
 
     /// Whether a hold ended after `from` and not after `to`.
     #[must_use]
-    pub fn hold_ended(&self, from: Instant, to: Instant) -> bool {
+    pub fn hold_expired(&self, from: Instant, to: Instant) -> bool {
         let ended = |at: Instant| (from..=to).contains(&(at + self.hold));
         self.seen.values().filter_map(|s| s.gone).any(ended)
     }
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::Builder;
+use super::ViewBuilder;
 use crate::maglev::MaglevTable;
 use crate::settings::ProfileSettings;
 use crate::store::KeyLayout;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     /// The profile as the operator declared it.
-    pub spec: ProfileSettings,
+    pub profile: ProfileSettings,
     /// The targets of its service, shared by every profile of that service.
     pub pool: Arc<Pool>,
 }
@@ -43,7 +43,7 @@
     /// announcement as it stands.
     #[must_use]
     pub fn build(keys: &KeyLayout, copy: &KeyMap) -> Self {
-        let mut builder = Builder::new(keys.clone(), super::Roster::default());
-        builder.update(copy, Instant::now())
+        let mut builder = ViewBuilder::new(keys.clone(), super::TargetRegistry::default());
+        builder.build(copy, Instant::now())
     }
 }
--- a/src/balancer/builder.rs
+++ b/src/balancer/view_builder.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::{Pool, Roster, Route, View};
+use super::{Pool, Route, TargetRegistry, View};
 use crate::maglev::MaglevTable;
 use crate::record;
 use crate::settings::{ProfileSettings, Service};
@@ -25,35 +25,35 @@
 
 /// What the view is built from, kept between changes of the store.
 #[derive(Debug)]
-pub struct Builder {
+pub struct ViewBuilder {
     keys: KeyLayout,
     parsed: BTreeMap<Arc<str>, (i64, Record)>,
     pools: HashMap<Service, Arc<Pool>>,
     /// The judgement of the announcements.
-    pub roster: Roster,
+    pub registry: TargetRegistry,
 }
 
-impl Builder {
+impl ViewBuilder {
     /// A builder for the store's `keys`, whose announcements `roster` judges.
     #[must_use]
-    pub fn new(keys: KeyLayout, roster: Roster) -> Self {
-        Self { keys, parsed: BTreeMap::new(), pools: HashMap::new(), roster }
+    pub fn new(keys: KeyLayout, roster: TargetRegistry) -> Self {
+        Self { keys, parsed: BTreeMap::new(), pools: HashMap::new(), registry: roster }
     }
 
     /// The view of the store's keys as they are now.
-    pub fn update(&mut self, copy: &KeyMap, now: Instant) -> View {
+    pub fn build(&mut self, copy: &KeyMap, now: Instant) -> View {
         self.parse(copy);
         let targets = self.records().filter_map(|r| match r {
             Record::Target(t) => Some(t.clone()),
             _ => None,
         });
         let targets = targets.collect();
-        self.roster.update(targets, now);
+        self.registry.update(targets, now);
         self.pool(now);
         let routes = self.records().filter_map(|r| match r {
             Record::Profile(spec) => {
                 let pool = self.pools.get(&spec.service)?.clone();
-                Some((spec.listen.port(), Route { spec: spec.clone(), pool }))
+                Some((spec.listen.port(), Route { profile: spec.clone(), pool }))
             }
             _ => None,
         });
@@ -87,12 +87,12 @@
         let mut pools = HashMap::new();
         for service in services {
             let serving: Vec<(Arc<str>, SocketAddrV4)> = self
-                .roster
+                .registry
                 .serving(service, now)
                 .filter(|t| !drains.contains(&t.name))
                 .filter_map(|t| Some((t.name.clone(), v4(t.agent)?)))
                 .collect();
-            let owners = self.roster.owners(service).filter_map(|t| v4(t.agent)).collect();
+            let owners = self.registry.owners(service).filter_map(|t| v4(t.agent)).collect();
             let before = self.pools.get(&service);
             let pool = match before {
                 Some(p) if p.table.entries() == serving && p.owners == owners => p.clone(),
--- a/src/balancer/follow.rs
+++ b/src/balancer/view_updater.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{Builder, Roster, View};
+use super::{TargetRegistry, View, ViewBuilder};
 use crate::admin::Board;
 use crate::events;
 use crate::metrics;
@@ -27,7 +27,7 @@
 
 /// What the balancer's view is made of, kept between changes of the store.
 struct Judge {
-    builder: Builder,
+    builder: ViewBuilder,
     copy: Arc<Snapshot>,
     view: Rc<RefCell<View>>,
     board: Board,
@@ -51,11 +51,11 @@
 
     fn rebuild(&mut self) {
         self.built = Instant::now();
-        let next = self.builder.update(&self.copy.keys, self.built);
+        let next = self.builder.build(&self.copy.keys, self.built);
         let sizes: Vec<String> = next
             .routes
             .values()
-            .map(|r| format!("{}={}/{}", r.spec.name, r.pool.table.len(), r.pool.owners.len()))
+            .map(|r| format!("{}={}/{}", r.profile.name, r.pool.table.len(), r.pool.owners.len()))
             .collect();
         log::info!("{} view: {}", events::BALANCER_VIEW, sizes.join(" "));
         *self.view.borrow_mut() = next;
@@ -71,9 +71,9 @@
     board: Board,
     hold: Hold,
 ) {
-    let roster = Roster::new(hold.missing, hold.owners);
+    let roster = TargetRegistry::new(hold.missing, hold.owners);
     let judge = RefCell::new(Judge {
-        builder: Builder::new(keys, roster),
+        builder: ViewBuilder::new(keys, roster),
         copy: Arc::default(),
         view,
         board,
@@ -92,7 +92,7 @@
             }
             MirrorEvent::StoreFailed(e) => {
                 log::warn!("{} {e:#}", events::BALANCER_STORE);
-                judge.borrow_mut().builder.roster.postpone(Instant::now());
+                judge.borrow_mut().builder.registry.restart_hold(Instant::now());
             }
             MirrorEvent::Recovered => {}
         },
@@ -101,7 +101,7 @@
         loop {
             tokio::time::sleep(HOLD_TICK).await;
             let mut j = judge.borrow_mut();
-            j.stale |= j.builder.roster.hold_ended(j.built, Instant::now());
+            j.stale |= j.builder.registry.hold_expired(j.built, Instant::now());
             j.catch_up();
         }
     };
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-use jujubepost::balancer::{Decision, View, decide};
+use jujubepost::balancer::{RouteDecision, View, route_packet};
 use jujubepost::metrics::Refusal;
 use jujubepost::record;
 use jujubepost::settings::{Policy, ProfileSettings, Service};
@@ -72,25 +72,25 @@
 #[test]
 fn open_goes_to_service() {
     let v = view();
-    let to = decide(&v, &packet(9020, PacketKind::Open, Owner::NONE));
-    assert_eq!(to, Decision::Place(only(9200)));
-    let to = decide(&v, &packet(9021, PacketKind::Open, Owner::NONE));
-    assert_eq!(to, Decision::Place(only(9201)));
+    let to = route_packet(&v, &packet(9020, PacketKind::Open, Owner::NONE));
+    assert_eq!(to, RouteDecision::Offer(only(9200)));
+    let to = route_packet(&v, &packet(9021, PacketKind::Open, Owner::NONE));
+    assert_eq!(to, RouteDecision::Offer(only(9201)));
 }
 
 #[test]
 fn foreign_owner_dropped() {
     let v = view();
     let fieldlog = Owner::new(SocketAddrV4::new([127, 0, 0, 1].into(), 9201), 5);
-    let to = decide(&v, &packet(9020, PacketKind::Data, fieldlog));
-    assert_eq!(to, Decision::Drop(Refusal::ForeignOwner));
+    let to = route_packet(&v, &packet(9020, PacketKind::Data, fieldlog));
+    assert_eq!(to, RouteDecision::Drop(Refusal::ForeignOwner));
 }
 
 #[test]
 fn unknown_port_dropped() {
     let v = view();
     assert_eq!(
-        decide(&v, &packet(1, PacketKind::Open, Owner::NONE)),
-        Decision::Drop(Refusal::NoProfile)
+        route_packet(&v, &packet(1, PacketKind::Open, Owner::NONE)),
+        RouteDecision::Drop(Refusal::NoProfile)
     );
 }
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use jujubepost::balancer::Roster;
+use jujubepost::balancer::TargetRegistry;
 use jujubepost::record::Target;
 use jujubepost::settings::Service;
 
@@ -25,14 +25,14 @@
     (0..n).map(|i| target(Service::Meter, i)).collect()
 }
 
-fn serving(r: &Roster, now: Instant) -> usize {
+fn serving(r: &TargetRegistry, now: Instant) -> usize {
     r.serving(Service::Meter, now).count()
 }
 
 #[test]
 fn one_lapse_leaves() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     r.update(meters(7), t0);
     r.update(meters(6), t0);
     assert_eq!(serving(&r, t0), 6);
@@ -42,29 +42,29 @@
 #[test]
 fn mass_lapse_held() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     r.update(meters(7), t0);
     r.update(Vec::new(), t0);
     assert_eq!(serving(&r, t0 + HOLD / 2), 7);
     assert_eq!(serving(&r, t0 + HOLD), 0);
-    assert!(r.hold_ended(t0, t0 + HOLD));
-    assert!(!r.hold_ended(t0 + HOLD + HOLD, t0 + HOLD * 3));
+    assert!(r.hold_expired(t0, t0 + HOLD));
+    assert!(!r.hold_expired(t0 + HOLD + HOLD, t0 + HOLD * 3));
 }
 
 #[test]
 fn outage_lengthens_hold() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     r.update(meters(7), t0);
     r.update(Vec::new(), t0);
-    r.postpone(t0 + HOLD);
+    r.restart_hold(t0 + HOLD);
     assert_eq!(serving(&r, t0 + HOLD + HOLD / 2), 7);
 }
 
 #[test]
 fn leaving_never_held() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     let leaving: Vec<Target> =
         meters(3).into_iter().map(|t| Target { stopping: true, ..t }).collect();
     r.update(leaving, t0);
@@ -76,7 +76,7 @@
 #[test]
 fn reused_address_no_owner() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     r.update(meters(2), t0);
     // meter-1 is gone and fieldlog-1 announces its address.
     let now = vec![target(Service::Meter, 0), target(Service::Fieldlog, 1)];
@@ -88,7 +88,7 @@
 #[test]
 fn long_dead_stay_out() {
     let t0 = Instant::now();
-    let mut r = Roster::new(HOLD, KEEP);
+    let mut r = TargetRegistry::new(HOLD, KEEP);
     r.update(meters(7), t0);
     // Four die, one after the other, each alone within its hold.
     for left in (3..7).rev() {
@@ -97,6 +97,6 @@
     let later = t0 + HOLD * 6;
     assert_eq!(serving(&r, later), 3);
     // A moment's failure of the store is no reason to use them again.
-    r.postpone(later);
+    r.restart_hold(later);
     assert_eq!(serving(&r, later), 3);
 }
