--- a/src/agent/admission.rs
+++ b/src/agent/admission.rs
@@ -1,35 +1,35 @@
-//! Whether an agent takes a new flow: decided before any byte of it reaches
-//! the target, so that "not run" is true.
+//! Admission control of an agent, decided before any caller data reaches the
+//! target.
 
 use std::time::Duration;
 
 use crate::metrics::Refusal;
 
-/// What an agent decides about a new flow.
+/// Outcome of admission control for a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Accept it.
+    /// The agent may accept the flow.
     Accept,
-    /// Refuse it as not run.
+    /// The agent must not accept the flow, for this reason.
     Refuse(Refusal),
 }
 
-/// Whether a new flow is admitted.
+/// Decides whether the agent may accept a new flow.
 ///
-/// `drain` is how long ago the drain order was seen, if any; `grace` is how
-/// long a draining target still takes new flows; `flows` and `max` are the
-/// open flows and the profile's limit.
+/// `draining_for` is the time since the agent learned that its target drains,
+/// if it does. During the first `drain_grace` of a drain new flows are still
+/// accepted, as some balancers have not yet learned of it.
 #[must_use]
 pub fn admit(
-    drain: Option<Duration>,
-    grace: Duration,
+    draining_for: Option<Duration>,
+    drain_grace: Duration,
     stopping: bool,
-    flows: usize,
-    max: usize,
+    open_flows: usize,
+    max_flows: usize,
 ) -> Admission {
-    if stopping || drain.is_some_and(|d| d >= grace) {
+    if stopping || draining_for.is_some_and(|elapsed| elapsed >= drain_grace) {
         Admission::Refuse(Refusal::Draining)
-    } else if flows >= max {
+    } else if open_flows >= max_flows {
         Admission::Refuse(Refusal::Full)
     } else {
         Admission::Accept
--- a/src/agent/config.rs
+++ b/src/agent/config.rs
@@ -1,5 +1,5 @@
-//! What operators have ordered, as one agent sees it: the profiles of its
-//! service by port, and whether its own target drains.
+//! The configuration of one agent, read from a snapshot of the store: the
+//! profiles by port, and whether the agent's target is draining.
 
 use std::collections::HashMap;
 
@@ -7,27 +7,28 @@
 use crate::settings::ProfileSettings;
 use crate::store::{KeyLayout, Snapshot};
 
-/// The orders in force for one agent.
+/// Configuration in force for one agent.
 #[derive(Clone, Debug, Default)]
-pub struct Orders {
-    /// Profiles by caller-facing port.
+pub struct AgentConfig {
+    /// Profiles of all services, by caller-facing port.
     pub profiles: HashMap<u16, ProfileSettings>,
-    /// Whether the agent's target is ordered out of service.
-    pub drain: bool,
+    /// Whether an operator ordered the agent's target to drain.
+    pub draining: bool,
 }
 
-impl Orders {
-    /// The orders for the target `name` in a copy of the store's keys.
+impl AgentConfig {
+    /// Reads the configuration for the target `name`. Profiles that cannot be
+    /// parsed are skipped.
     #[must_use]
-    pub fn read(keys: &KeyLayout, copy: &Snapshot, name: &str) -> Self {
+    pub fn read(keys: &KeyLayout, snapshot: &Snapshot, name: &str) -> Self {
         let mut profiles = HashMap::new();
-        for kv in copy.keys.values() {
+        for kv in snapshot.keys.values() {
             let Some(("profiles", _)) = keys.split(&kv.key) else { continue };
             if let Ok(p) = serde_json::from_slice::<record::Profile>(&kv.value) {
                 profiles.insert(p.spec.listen.port(), p.spec);
             }
         }
-        let drain = copy.keys.contains_key(keys.drain_order(name).as_str());
-        Self { profiles, drain }
+        let draining = snapshot.keys.contains_key(keys.drain_order(name).as_str());
+        Self { profiles, draining }
     }
 }
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -1,6 +1,6 @@
-//! One flow inside an agent: the connection to the local target, caller bytes
-//! put back in order, and the target's answers sent straight to the fabric
-//! until they are acknowledged.
+//! One flow of an agent, relayed between the fabric and a TCP connection to the
+//! local target. Caller data is reordered before it is written to the target;
+//! response data is sent directly to the fabric and resent until acknowledged.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,201 +17,216 @@
 use crate::stream::{ReorderBuffer, SendWindow};
 use crate::wire::{self, MAX_BODY_BYTES, Owner, Packet, PacketKind, Reply, ReplyKind};
 
-/// How long the agent waits to connect to its own target.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time limit on connecting to the local target.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an accepted flow may stay unconfirmed by the caller's side.
-const CONFIRM: Duration = Duration::from_secs(5);
+/// How long an accepted flow waits for its first packet other than an open.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a flow needs to run.
+/// Identity, addresses and timeouts of one flow.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct FlowParams {
     /// The flow's identifier.
-    pub flow: u64,
+    pub flow_id: u64,
     /// The caller-facing port.
     pub port: u16,
-    /// This agent's identity on the flow.
+    /// The agent's address and the flow's nonce, sent with every reply.
     pub owner: Owner,
-    /// Where replies go.
-    pub reply: SocketAddr,
-    /// The local target.
+    /// Address of the fabric that receives the replies.
+    pub reply_to: SocketAddr,
+    /// TCP address of the local target.
     pub target: SocketAddr,
-    /// The flow's timers.
-    pub timers: Timers,
+    /// When to resend and when to give up.
+    pub timeouts: FlowTimeouts,
 }
 
-/// How long a flow waits for what.
+/// Timeouts of a flow.
 #[derive(Clone, Copy, Debug)]
-pub struct Timers {
-    /// Close after this long without traffic.
+pub struct FlowTimeouts {
+    /// A flow with no traffic for this long is closed.
     pub idle: Duration,
-    /// Send unacknowledged answers again after this long.
+    /// Initial retransmission timeout of response data and accepts.
     pub rto: Duration,
-    /// Give up when nothing was acknowledged for this long.
+    /// A flow whose response data stays unacknowledged this long is ended.
     pub give_up: Duration,
 }
 
-/// How a flow ended.
+/// Why a flow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The target could not be reached: nothing ran.
+pub enum FlowEnd {
+    /// The connection to the target failed; no caller data was delivered.
     Unreachable,
-    /// Both sides closed and every answer was acknowledged.
+    /// Both sides closed and all response data was acknowledged.
     Closed,
-    /// No traffic for the idle time.
+    /// No traffic within the idle timeout.
     Idle,
-    /// The caller's side acknowledged nothing for too long.
+    /// The fabric stopped acknowledging, or never confirmed the accept.
     Silent,
-    /// The fabric reset the flow, or the agent stopped it.
+    /// The fabric reset the flow.
     Reset,
 }
 
-/// Counts the flows of an agent that wait for their target's answer: bytes
-/// went in and none came out since.
+/// Number of an agent's flows that wait for a response: data was written to the
+/// target and none has been read since. Clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct Waiting(Rc<Cell<u32>>);
+pub struct WaitingFlows(Rc<Cell<u32>>);
 
-impl Waiting {
-    /// How many flows wait.
+impl WaitingFlows {
+    /// Flows waiting at the moment.
     #[must_use]
     pub fn count(&self) -> u32 {
         self.0.get()
     }
 }
 
-/// One flow's part in [`Waiting`].
-struct Wait {
-    all: Waiting,
-    on: bool,
+/// Counts one flow in [`WaitingFlows`] while it waits; dropping it uncounts
+/// the flow.
+struct WaitingGuard {
+    total: WaitingFlows,
+    is_waiting: bool,
 }
 
-impl Wait {
-    fn set(&mut self, on: bool) {
-        if on != self.on {
-            self.on = on;
-            let n = self.all.0.get();
-            self.all.0.set(if on { n + 1 } else { n - 1 });
+impl WaitingGuard {
+    fn set_waiting(&mut self, waiting: bool) {
+        if waiting != self.is_waiting {
+            self.is_waiting = waiting;
+            let n = self.total.0.get();
+            self.total.0.set(if waiting { n + 1 } else { n - 1 });
         }
     }
 }
 
-impl Drop for Wait {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
-        self.set(false);
+        self.set_waiting(false);
     }
 }
 
-/// Sends one reply; one lost here is sent again like any other.
-pub async fn send(sock: &UdpSocket, to: SocketAddr, reply: Reply) {
+/// Sends one reply. A failure to send is ignored, as the packet could also be
+/// lost in the network.
+pub async fn send_reply(sock: &UdpSocket, to: SocketAddr, reply: Reply) {
     if let Ok(bytes) = wire::encode(&reply) {
         let _ = sock.send_to(&bytes, to).await;
     }
 }
 
-impl Spec {
-    /// Sends `answer` to the flow's caller side.
-    pub async fn send(&self, sock: &UdpSocket, answer: ReplyKind) {
-        let (flow, port, owner) = (self.flow, self.port, self.owner);
-        send(sock, self.reply, Reply { flow, port, owner, kind: answer }).await;
+impl FlowParams {
+    /// Sends a reply of this flow to the fabric.
+    pub async fn send_reply(&self, sock: &UdpSocket, kind: ReplyKind) {
+        let reply = Reply { flow: self.flow_id, port: self.port, owner: self.owner, kind };
+        send_reply(sock, self.reply_to, reply).await;
     }
 }
 
 thread_local! {
-    /// One read buffer for every flow of the agent's thread: a flow holds no
-    /// buffer of its own while it waits, which is most of its life.
-    static READ: std::cell::RefCell<Vec<u8>> = std::cell::RefCell::new(vec![0; MAX_BODY_BYTES]);
+    /// Read buffer shared by all flows of the thread, so that an idle flow
+    /// holds none.
+    static READ_BUFFER: std::cell::RefCell<Vec<u8>> = std::cell::RefCell::new(vec![0; MAX_BODY_BYTES]);
 }
 
-/// What the target's connection had to say.
-enum Heard {
-    Bytes(Vec<u8>),
-    End { clean: bool },
-    Nothing,
+/// Result of a non-blocking read from the target.
+enum ReadOutcome {
+    Data(Vec<u8>),
+    /// End of the stream; `clean` is false after a read error.
+    Closed {
+        clean: bool,
+    },
+    WouldBlock,
 }
 
-fn read_now(rd: &OwnedReadHalf) -> Heard {
-    READ.with_borrow_mut(|buf| match rd.try_read(buf) {
-        Ok(0) => Heard::End { clean: true },
-        Ok(n) => Heard::Bytes(buf[..n].to_vec()),
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Heard::Nothing,
-        Err(_) => Heard::End { clean: false },
+fn try_read_target(reader: &OwnedReadHalf) -> ReadOutcome {
+    READ_BUFFER.with_borrow_mut(|buf| match reader.try_read(buf) {
+        Ok(0) => ReadOutcome::Closed { clean: true },
+        Ok(n) => ReadOutcome::Data(buf[..n].to_vec()),
+        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
+        Err(_) => ReadOutcome::Closed { clean: false },
     })
 }
 
-/// Runs the flow until it ends.
-pub async fn run(sock: Rc<UdpSocket>, spec: Spec, waiting: Waiting, rx: Mailbox<Packet>) -> End {
-    let stream = match tokio::time::timeout(CONNECT, TcpStream::connect(spec.target)).await {
+/// Connects to the target and relays the flow until it ends. `inbox` receives
+/// the flow's packets.
+pub async fn run(
+    sock: Rc<UdpSocket>,
+    params: FlowParams,
+    waiting: WaitingFlows,
+    inbox: Mailbox<Packet>,
+) -> FlowEnd {
+    let connect = TcpStream::connect(params.target);
+    let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(s)) => s,
-        _ => return End::Unreachable,
+        _ => return FlowEnd::Unreachable,
     };
     let _ = stream.set_nodelay(true);
-    let (rd, wr) = stream.into_split();
+    let (reader, writer) = stream.into_split();
     let now = Instant::now();
     let flow = Flow {
         sock,
-        rd,
-        wr,
-        rx,
-        caller: ReorderBuffer::new(1),
-        answers: SendWindow::new(spec.timers.rto, now),
-        answered: 0,
-        caller_done: false,
-        target_done: false,
+        reader,
+        writer,
+        inbox,
+        received: ReorderBuffer::new(1),
+        unacked: SendWindow::new(params.timeouts.rto, now),
+        next_seq: 0,
+        caller_closed: false,
+        target_closed: false,
         confirmed: false,
-        accept_at: now,
-        accept_wait: spec.timers.rto,
-        opened: now,
-        heard: now,
-        wait: Wait { all: waiting, on: false },
-        spec,
+        next_accept: now,
+        accept_interval: params.timeouts.rto,
+        opened_at: now,
+        last_activity: now,
+        waiting: WaitingGuard { total: waiting, is_waiting: false },
+        params,
     };
-    flow.serve().await
+    flow.relay().await
 }
 
 struct Flow {
-    spec: Spec,
+    params: FlowParams,
     sock: Rc<UdpSocket>,
-    rd: OwnedReadHalf,
-    wr: OwnedWriteHalf,
-    rx: Mailbox<Packet>,
-    caller: ReorderBuffer<Packet>,
-    answers: SendWindow<ReplyKind>,
-    answered: u32,
-    caller_done: bool,
-    target_done: bool,
+    reader: OwnedReadHalf,
+    writer: OwnedWriteHalf,
+    inbox: Mailbox<Packet>,
+    received: ReorderBuffer<Packet>,
+    unacked: SendWindow<ReplyKind>,
+    /// Sequence number of the next response data.
+    next_seq: u32,
+    caller_closed: bool,
+    target_closed: bool,
+    /// Whether a packet other than an open has arrived since the accept.
     confirmed: bool,
-    accept_at: Instant,
-    accept_wait: Duration,
-    opened: Instant,
-    heard: Instant,
-    wait: Wait,
+    next_accept: Instant,
+    /// Delay before the accept is resent; doubles each time.
+    accept_interval: Duration,
+    opened_at: Instant,
+    last_activity: Instant,
+    waiting: WaitingGuard,
 }
 
 impl Flow {
-    async fn serve(mut self) -> End {
+    async fn relay(mut self) -> FlowEnd {
         loop {
-            if self.caller_done && self.target_done && self.answers.is_empty() {
-                return End::Closed;
+            if self.caller_closed && self.target_closed && self.unacked.is_empty() {
+                return FlowEnd::Closed;
             }
-            let timer = tokio::time::Instant::from_std(self.next_timer());
+            let deadline = tokio::time::Instant::from_std(self.next_deadline());
             tokio::select! {
-                p = self.rx.recv() => {
-                    self.heard = Instant::now();
+                p = self.inbox.recv() => {
+                    self.last_activity = Instant::now();
                     if p.kind == PacketKind::Reset {
-                        return End::Reset;
+                        return FlowEnd::Reset;
                     }
-                    self.take(p).await;
+                    self.handle_packet(p).await;
                 }
-                r = self.rd.readable(), if !self.target_done && !self.answers.is_full() => {
-                    let heard = if r.is_ok() {
-                        read_now(&self.rd)
+                r = self.reader.readable(), if !self.target_closed && !self.unacked.is_full() => {
+                    let outcome = if r.is_ok() {
+                        try_read_target(&self.reader)
                     } else {
-                        Heard::End { clean: false }
+                        ReadOutcome::Closed { clean: false }
                     };
-                    self.answer(heard).await;
+                    self.handle_read(outcome).await;
                 }
-                () = tokio::time::sleep_until(timer) => {
-                    if let Some(end) = self.on_timer().await {
+                () = tokio::time::sleep_until(deadline) => {
+                    if let Some(end) = self.on_deadline().await {
                         return end;
                     }
                 }
@@ -219,101 +234,105 @@
         }
     }
 
-    async fn send(&self, answer: ReplyKind) {
-        self.spec.send(&self.sock, answer).await;
+    async fn send_reply(&self, kind: ReplyKind) {
+        self.params.send_reply(&self.sock, kind).await;
     }
 
-    /// Takes one packet of the caller's side.
-    async fn take(&mut self, p: Packet) {
+    async fn handle_packet(&mut self, p: Packet) {
         if p.kind == PacketKind::Open {
-            self.send(ReplyKind::Accept).await;
+            self.send_reply(ReplyKind::Accept).await;
             return;
         }
         self.confirmed = true;
-        self.answers.ack(p.ack, Instant::now());
+        self.unacked.ack(p.ack, Instant::now());
         if p.kind == PacketKind::Ack {
             return;
         }
-        self.caller.insert(p.seq, p);
-        while let Some(p) = self.caller.pop() {
-            metrics::invariant(!self.caller_done, "nothing_after_close", || {
+        self.received.insert(p.seq, p);
+        while let Some(p) = self.received.pop() {
+            metrics::invariant(!self.caller_closed, "nothing_after_close", || {
                 format!("flow {:x} seq {}", p.flow, p.seq)
             });
-            self.deliver(&p).await;
+            self.write_to_target(&p).await;
         }
-        self.send(ReplyKind::Ack { next: self.caller.next_seq() }).await;
+        self.send_reply(ReplyKind::Ack { next: self.received.next_seq() }).await;
     }
 
-    /// Hands one piece, in order, to the target.
-    async fn deliver(&mut self, p: &Packet) {
+    async fn write_to_target(&mut self, p: &Packet) {
         if p.kind == PacketKind::Close {
-            let _ = self.wr.shutdown().await;
-            self.caller_done = true;
-        } else if self.wr.write_all(&p.body).await.is_ok() {
-            self.wait.set(true);
+            let _ = self.writer.shutdown().await;
+            self.caller_closed = true;
+        } else if self.writer.write_all(&p.body).await.is_ok() {
+            self.waiting.set_waiting(true);
         }
-        // A target that has closed takes no more; its answer still goes out.
+        // A write error does not end the flow: the target may have closed its
+        // receiving side and still have response data to send.
     }
 
-    /// Sends on what the target said.
-    async fn answer(&mut self, heard: Heard) {
-        let seq = self.answered;
-        let answer = match heard {
-            Heard::Nothing => return,
-            Heard::Bytes(body) => {
-                self.answered += 1;
+    /// Sends data read from the target, or its close, to the fabric.
+    async fn handle_read(&mut self, outcome: ReadOutcome) {
+        let seq = self.next_seq;
+        let reply = match outcome {
+            ReadOutcome::WouldBlock => return,
+            ReadOutcome::Data(body) => {
+                self.next_seq += 1;
                 ReplyKind::Data { seq, body }
             }
-            Heard::End { clean } => {
-                self.target_done = true;
+            ReadOutcome::Closed { clean } => {
+                self.target_closed = true;
                 ReplyKind::Close { seq, clean }
             }
         };
-        self.heard = Instant::now();
-        self.wait.set(false);
-        self.answers.push(seq, answer.clone(), self.heard);
-        self.send(answer).await;
+        self.last_activity = Instant::now();
+        self.waiting.set_waiting(false);
+        self.unacked.push(seq, reply.clone(), self.last_activity);
+        self.send_reply(reply).await;
     }
 
-    fn next_timer(&self) -> Instant {
-        let idle = self.heard + self.spec.timers.idle;
-        let mut at = self.answers.next_resend().map_or(idle, |due| due.min(idle));
+    fn next_deadline(&self) -> Instant {
+        let idle = self.last_activity + self.params.timeouts.idle;
+        let mut at = self.unacked.next_resend().map_or(idle, |due| due.min(idle));
         if !self.confirmed {
-            at = at.min(self.accept_at);
+            at = at.min(self.next_accept);
         }
         at
     }
 
-    async fn on_timer(&mut self) -> Option<End> {
+    /// Resends what is due, or returns why the flow ends.
+    async fn on_deadline(&mut self) -> Option<FlowEnd> {
         let now = Instant::now();
-        let timers = self.spec.timers;
-        if now.duration_since(self.heard) >= timers.idle {
+        let timeouts = self.params.timeouts;
+        if now.duration_since(self.last_activity) >= timeouts.idle {
             log::info!(
-                "{} flow {:x} silent for {:?}, closed",
+                "{} flow {:x} closed: no traffic for {:?}",
                 events::AGENT_IDLE,
-                self.spec.flow,
-                timers.idle
+                self.params.flow_id,
+                timeouts.idle
             );
-            return Some(End::Idle);
+            return Some(FlowEnd::Idle);
         }
-        let unconfirmed = !self.confirmed && now.duration_since(self.opened) >= CONFIRM;
-        if unconfirmed || self.answers.stalled_for(now) >= timers.give_up {
-            log::info!("{} flow {:x}: caller silent", events::AGENT_SILENT, self.spec.flow);
+        let unconfirmed = !self.confirmed && now.duration_since(self.opened_at) >= CONFIRM_TIMEOUT;
+        if unconfirmed || self.unacked.stalled_for(now) >= timeouts.give_up {
+            log::info!(
+                "{} flow {:x} closed: the fabric acknowledged nothing in time",
+                events::AGENT_SILENT,
+                self.params.flow_id
+            );
             metrics::refused(Refusal::Silent);
-            return Some(End::Silent);
+            return Some(FlowEnd::Silent);
         }
-        if !self.confirmed && now >= self.accept_at {
-            if self.accept_at > self.opened {
+        if !self.confirmed && now >= self.next_accept {
+            if self.next_accept > self.opened_at {
                 metrics::retried(Retry::AcceptTimeout);
             }
-            self.send(ReplyKind::Accept).await;
-            self.accept_at = now + self.accept_wait;
-            self.accept_wait *= 2;
+            self.send_reply(ReplyKind::Accept).await;
+            self.next_accept = now + self.accept_interval;
+            self.accept_interval *= 2;
         }
-        let again: Vec<ReplyKind> = self.answers.resend(now).cloned().collect();
-        for answer in again {
+        let due: Vec<ReplyKind> = self.unacked.resend(now).cloned().collect();
+        for reply in due {
             metrics::retried(Retry::AnswerTimeout);
-            self.send(answer).await;
+            self.send_reply(reply).await;
         }
         None
     }
--- a/src/agent/mailbox.rs
+++ b/src/agent/mailbox.rs
@@ -1,6 +1,6 @@
-//! A flow's queue of packets inside one thread: a flow waits for most of its
-//! life, so an empty queue holds no buffer (a channel's first block alone
-//! would be larger than the rest of the flow).
+//! An unbounded single-threaded queue for the packets of one flow. An empty
+//! queue holds no buffer, which keeps idle flows small; a Tokio channel would
+//! keep at least one block of messages allocated.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,14 +8,14 @@
 
 use tokio::sync::Notify;
 
-/// A queue with any number of writers and one reader.
+/// A queue with any number of senders and one receiver; clones share it.
 #[derive(Debug)]
 pub struct Mailbox<T>(Rc<Inner<T>>);
 
 #[derive(Debug)]
 struct Inner<T> {
     queue: RefCell<VecDeque<T>>,
-    news: Notify,
+    available: Notify,
 }
 
 impl<T> Clone for Mailbox<T> {
@@ -26,24 +26,24 @@
 
 impl<T> Default for Mailbox<T> {
     fn default() -> Self {
-        Self(Rc::new(Inner { queue: RefCell::default(), news: Notify::new() }))
+        Self(Rc::new(Inner { queue: RefCell::default(), available: Notify::new() }))
     }
 }
 
 impl<T> Mailbox<T> {
-    /// Puts one in.
+    /// Appends an item and wakes the receiver.
     pub fn send(&self, item: T) {
         self.0.queue.borrow_mut().push_back(item);
-        self.0.news.notify_one();
+        self.0.available.notify_one();
     }
 
-    /// Takes the oldest out, waiting for one if there is none.
+    /// Removes the oldest item, waiting while the queue is empty.
     pub async fn recv(&self) -> T {
         loop {
             if let Some(item) = self.pop() {
                 return item;
             }
-            self.0.news.notified().await;
+            self.0.available.notified().await;
         }
     }
 
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,12 +1,8 @@
-//! The agent: the one small process beside each target.
+//! The agent: a process beside each target that terminates flows for it.
 //!
-//! It announces its target under a lease (there is no list of targets),
-//! accepts new flows for it, holds each flow's state, puts caller bytes back
-//! in order and hands them to the target, and sends the answers straight to
-//! the fabric. It refuses a new flow as "not run" before any byte reaches the
-//! target: when the target drains (after a grace that lets the drain reach
-//! every balancer), when it holds as many flows as the profile allows, or
-//! when the target cannot be reached.
+//! It registers the target in the store under a lease, accepts or refuses new
+//! flows, and relays each flow between the fabric and the target. A refusal
+//! happens before any data reaches the target, so the caller can safely retry.
 
 pub mod admission;
 pub mod config;
@@ -25,7 +21,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 
 pub use admission::{Admission, admit};
-use config::Orders;
+use config::AgentConfig;
 pub use placement::{OfferAction, decide_offer};
 use state::Agent;
 
@@ -36,36 +32,39 @@
 use crate::wire::{self, Packet};
 use crate::{events, metrics, record};
 
-/// Largest datagram taken, in bytes.
-const DATAGRAM: usize = 64 * 1024;
+/// Size of the receive buffer, at least that of the largest UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// How often a stopping agent looks whether its flows are done.
-const STOP_POLL: Duration = Duration::from_millis(100);
+/// How often a stopping agent checks whether all flows have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the agent of target `name` until it is told to stop (SIGTERM or
-/// SIGINT). It then announces that it leaves, takes new flows for the grace
-/// that lets the news spread, and waits for open ones.
+/// Runs the agent of target `name` until SIGTERM or SIGINT.
+///
+/// On a signal it registers the target as stopping, accepts new flows for
+/// `grace_ms` while balancers learn of that, and then waits up to `stop_ms` for
+/// the open flows to end.
 ///
 /// # Errors
 ///
-/// Fails when the target is not in the settings or the agent's address is
-/// taken.
+/// Fails when the target is not in the settings, an address cannot be bound or
+/// receiving fails.
 pub async fn run(settings: &Settings, name: &str) -> anyhow::Result<()> {
-    let me = settings.target(name)?.clone();
-    let sock = UdpSocket::bind(me.agent)
+    let target = settings.target(name)?.clone();
+    let sock = UdpSocket::bind(target.agent)
         .await
-        .with_context(|| format!("agent {name}: binding {}", me.agent))?;
+        .with_context(|| format!("agent {name}: binding {}", target.agent))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
     let board = Board::new(format!("agent-{name}").into(), keys.config_prefix().into());
-    let desk = admin::Server::start(me.agent, board.clone()).await?;
-    let (done, finished) = mpsc::unbounded_channel();
-    let agent = Rc::new(RefCell::new(Agent::new(me.clone(), settings, sock, done, board.clone())));
-    let (announce, value) = watch::channel(announcement(&me, false)?);
+    let admin_server = admin::Server::start(target.agent, board.clone()).await?;
+    let (ended_tx, ended_rx) = mpsc::unbounded_channel();
+    let agent =
+        Rc::new(RefCell::new(Agent::new(target.clone(), settings, sock, ended_tx, board.clone())));
+    let (registration, value) = watch::channel(encode_registration(&target, false)?);
     let key = keys.target(name);
-    let (held, lease_ms) = (store.clone(), settings.agent.lease_ms);
-    let announcer = tokio::task::spawn_local(async move {
-        store::lease::maintain(&held, &key, value, lease_ms, &Notify::new()).await;
+    let (lease_store, lease_ms) = (store.clone(), settings.agent.lease_ms);
+    let lease_task = tokio::task::spawn_local(async move {
+        store::lease::maintain(&lease_store, &key, value, lease_ms, &Notify::new()).await;
     });
     let source = Source {
         store: store.clone(),
@@ -75,123 +74,131 @@
         batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
-    let follower =
-        tokio::task::spawn_local(follow_orders(source, keys.clone(), agent.clone(), board));
+    let config_task =
+        tokio::task::spawn_local(follow_config(source, keys.clone(), agent.clone(), board));
     log::info!(
         "{} agent of {name} ({}) in {} on {}",
         events::AGENT_START,
-        me.service,
-        me.zone,
-        me.agent
+        target.service,
+        target.zone,
+        target.agent
     );
-    let mut inbox = Inbox::new(agent.clone(), finished);
+    let mut event_loop = EventLoop::new(agent.clone(), ended_rx);
     let mut term = signal(SignalKind::terminate()).context("agent: signal")?;
     let mut int = signal(SignalKind::interrupt()).context("agent: signal")?;
     tokio::select! {
-        r = inbox.serve() => r?,
+        r = event_loop.run() => r?,
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    announce.send_replace(announcement(&me, true)?);
-    stop(&agent, &mut inbox, settings).await;
-    follower.abort();
-    announcer.abort();
-    let _ = follower.await;
-    let _ = announcer.await;
+    registration.send_replace(encode_registration(&target, true)?);
+    drain_flows(&agent, &mut event_loop, settings).await;
+    config_task.abort();
+    lease_task.abort();
+    let _ = config_task.await;
+    let _ = lease_task.await;
     let _ = store.delete(&keys.target(name)).await;
     let mut tasks = agent.borrow_mut().take_tasks();
     tasks.shutdown().await;
-    desk.stop().await;
-    for c in metrics::snapshot() {
-        log::info!("{} {c}", events::COUNTERS);
+    admin_server.stop().await;
+    for count in metrics::snapshot() {
+        log::info!("{} {count}", events::COUNTERS);
     }
     Ok(())
 }
 
-fn announcement(me: &TargetSettings, leaving: bool) -> anyhow::Result<Vec<u8>> {
+fn encode_registration(target: &TargetSettings, stopping: bool) -> anyhow::Result<Vec<u8>> {
     let rec = record::Target {
-        name: me.name.clone(),
-        zone: me.zone.clone(),
-        service: me.service,
-        agent: me.agent,
-        stopping: leaving,
+        name: target.name.clone(),
+        zone: target.zone.clone(),
+        service: target.service,
+        agent: target.agent,
+        stopping,
     };
-    serde_json::to_vec(&rec).context("agent: encoding its announcement")
+    serde_json::to_vec(&rec).context("agent: encoding the registration")
 }
 
-/// Packets from the balancers and news of finished flows.
-struct Inbox {
+/// Feeds the agent with packets from the balancers and with ended flows.
+struct EventLoop {
     agent: Rc<RefCell<Agent>>,
     sock: Rc<UdpSocket>,
-    finished: mpsc::UnboundedReceiver<(u64, flow::End)>,
+    ended: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
     buf: Vec<u8>,
 }
 
-impl Inbox {
-    fn new(agent: Rc<RefCell<Agent>>, finished: mpsc::UnboundedReceiver<(u64, flow::End)>) -> Self {
-        let sock = agent.borrow().sock();
-        Self { agent, sock, finished, buf: vec![0; DATAGRAM] }
+impl EventLoop {
+    fn new(
+        agent: Rc<RefCell<Agent>>,
+        ended: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
+    ) -> Self {
+        let sock = agent.borrow().socket();
+        Self { agent, sock, ended, buf: vec![0; MAX_DATAGRAM_BYTES] }
     }
 
-    /// Takes one packet or one piece of news.
-    async fn next(&mut self) -> anyhow::Result<()> {
+    /// Handles the next packet or ended flow.
+    async fn step(&mut self) -> anyhow::Result<()> {
         tokio::select! {
             r = self.sock.recv_from(&mut self.buf) => {
-                let (n, _) = r.context("agent: receiving")?;
+                let (n, _) = r.context("agent: receiving a packet")?;
                 if let Ok(p) = wire::decode::<Packet>(&self.buf[..n]) {
-                    self.agent.borrow_mut().take(p);
+                    self.agent.borrow_mut().handle_packet(p);
                 }
             }
-            Some((flow, end)) = self.finished.recv() => {
-                self.agent.borrow_mut().forget(flow, end);
+            Some((flow_id, end)) = self.ended.recv() => {
+                self.agent.borrow_mut().remove_flow(flow_id, end);
             }
         }
         Ok(())
     }
 
-    async fn serve(&mut self) -> anyhow::Result<()> {
+    async fn run(&mut self) -> anyhow::Result<()> {
         loop {
-            self.next().await?;
+            self.step().await?;
         }
     }
 }
 
-/// Takes new flows for the grace, then only serves open ones, until none is
-/// left or the stop's wait has passed.
-async fn stop(agent: &RefCell<Agent>, inbox: &mut Inbox, settings: &Settings) {
-    let open = agent.borrow().len();
+/// Accepts new flows during the drain grace, then waits for the open ones to
+/// end, at most for the stop timeout.
+async fn drain_flows(agent: &RefCell<Agent>, event_loop: &mut EventLoop, settings: &Settings) {
+    let open = agent.borrow().flow_count();
     log::info!("{} stopping; waiting for {open} open flows", events::AGENT_STOP);
     let start = Instant::now();
-    let (grace, wait) = (ms(settings.agent.grace_ms), ms(settings.agent.stop_ms));
-    while start.elapsed() < grace || !agent.borrow().is_empty() {
+    let (grace, timeout) = (ms(settings.agent.grace_ms), ms(settings.agent.stop_ms));
+    while start.elapsed() < grace || !agent.borrow().is_idle() {
         if start.elapsed() >= grace {
-            agent.borrow_mut().close();
+            agent.borrow_mut().stop_accepting();
         }
-        if start.elapsed() >= grace + wait {
+        if start.elapsed() >= grace + timeout {
             return;
         }
-        let _ = tokio::time::timeout(STOP_POLL, inbox.next()).await;
+        let _ = tokio::time::timeout(STOP_POLL_INTERVAL, event_loop.step()).await;
     }
 }
 
-/// Keeps the agent's orders current.
-async fn follow_orders(
+/// Applies the configuration whenever the store's keys change.
+async fn follow_config(
     source: Source<store::Client>,
     keys: KeyLayout,
     agent: Rc<RefCell<Agent>>,
     board: Board,
 ) {
-    let name = agent.borrow().name();
+    let name = agent.borrow().target_name();
     mirror::follow(
         &source,
         |_| None,
-        |news| match news {
-            MirrorEvent::Updated(copy) => {
-                agent.borrow_mut().apply_orders(Orders::read(&keys, copy, &name));
-                board.set_copy(std::sync::Arc::new(copy.clone()));
+        |event| match event {
+            MirrorEvent::Updated(snapshot) => {
+                agent.borrow_mut().apply_config(AgentConfig::read(&keys, snapshot, &name));
+                board.set_copy(std::sync::Arc::new(snapshot.clone()));
                 board.set_ready(true);
             }
-            MirrorEvent::StoreFailed(e) => log::warn!("{} {e:#}", events::AGENT_STORE),
+            MirrorEvent::StoreFailed(e) => {
+                log::warn!(
+                    "{} store call failed, keeping the last configuration: {e:#}",
+                    events::AGENT_STORE
+                )
+            }
             MirrorEvent::Recovered => {}
         },
     )
--- a/src/agent/placement.rs
+++ b/src/agent/placement.rs
@@ -1,83 +1,84 @@
-//! Which of two agents takes a new flow: a pure function of what each knows
-//! of itself, so no load report has to travel or be believed.
+//! Placement of new flows: the power of two choices, decided by the agents.
 //!
-//! A balancer offers an open to two candidates of its table. The first takes
-//! it, or asks the second to compare loads; the less loaded one takes it (the
-//! power of two choices, decided at the servers as in SRLB and 6LB). An agent
-//! that may not take it passes it on. Refusing is left to when neither may. An
-//! open carries no bytes, so passing it on replays nothing.
+//! A balancer offers each new flow to two candidate agents. They pass the open
+//! between them, with the first one's load, until the less loaded one accepts
+//! it; it is refused only when neither may accept it. Balancers need no load
+//! reports for this, and passing an open on is safe, as it carries no data.
 
 use super::Admission;
 use crate::metrics::Refusal;
 use crate::wire::{Offer, OfferStage};
 
-/// What an agent does with an offered open.
+/// What an agent does with an offered flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferAction {
-    /// Takes the flow.
+    /// Accepts the flow.
     Accept,
-    /// Passes it to the other candidate.
+    /// Sends the open with this offer to the other candidate.
     PassOn(Offer),
-    /// Refuses it as not run: neither candidate may take it.
+    /// Refuses the flow, as no candidate may accept it.
     Refuse(Refusal),
 }
 
-/// The load of a candidate that may not take the flow.
+/// Load value of an agent that may not accept a flow.
 pub const UNAVAILABLE_LOAD: u32 = u32::MAX;
 
-/// What an agent that is admitted as `admit`, with `load`, does with `offer`.
+/// Decides on an offer, given the agent's own admission result and load.
 #[must_use]
-pub fn decide_offer(admit: Admission, load: u32, offer: Offer) -> OfferAction {
-    let to = |stage| OfferAction::PassOn(Offer { stage, ..offer });
+pub fn decide_offer(admission: Admission, load: u32, offer: Offer) -> OfferAction {
+    let pass_on = |stage| OfferAction::PassOn(Offer { stage, ..offer });
     let load = load.min(UNAVAILABLE_LOAD - 1);
-    let alone = offer.second.is_none();
-    match (admit, offer.stage) {
+    let only_candidate = offer.second.is_none();
+    match (admission, offer.stage) {
         (Admission::Accept, OfferStage::Take | OfferStage::Last) => OfferAction::Accept,
-        (Admission::Accept, OfferStage::Ask) if alone || load == 0 => OfferAction::Accept,
-        (Admission::Accept, OfferStage::Ask) => to(OfferStage::Compare { load }),
-        (Admission::Accept, OfferStage::Compare { load: theirs }) if lighter(load, theirs) => {
+        (Admission::Accept, OfferStage::Ask) if only_candidate || load == 0 => OfferAction::Accept,
+        (Admission::Accept, OfferStage::Ask) => pass_on(OfferStage::Compare { load }),
+        (Admission::Accept, OfferStage::Compare { load: other })
+            if is_clearly_lower(load, other) =>
+        {
             OfferAction::Accept
         }
-        (Admission::Accept, OfferStage::Compare { .. }) => to(OfferStage::Last),
+        (Admission::Accept, OfferStage::Compare { .. }) => pass_on(OfferStage::Last),
         (Admission::Refuse(reason), OfferStage::Take | OfferStage::Ask | OfferStage::Last)
-            if alone =>
+            if only_candidate =>
         {
             OfferAction::Refuse(reason)
         }
         (Admission::Refuse(_), OfferStage::Take | OfferStage::Ask | OfferStage::Last) => {
-            to(OfferStage::Compare { load: UNAVAILABLE_LOAD })
+            pass_on(OfferStage::Compare { load: UNAVAILABLE_LOAD })
         }
         (Admission::Refuse(reason), OfferStage::Compare { load: UNAVAILABLE_LOAD }) => {
             OfferAction::Refuse(reason)
         }
-        (Admission::Refuse(_), OfferStage::Compare { .. }) => to(OfferStage::Last),
+        (Admission::Refuse(_), OfferStage::Compare { .. }) => pass_on(OfferStage::Last),
     }
 }
 
-/// Units of load of one busy slot.
+/// Load of one busy slot of a target.
 pub const LOAD_PER_SLOT: u32 = 1_024;
 
-/// The load of an agent with `flows` open, of which `waiting` have sent their
-/// target something and heard nothing since.
+/// Load of an agent whose target sheds requests beyond its `slots`.
 ///
-/// Each waiting flow takes one of the target's `slots`; `max` open flows weigh
-/// as much as all slots. With all slots busy the load is the highest there
-/// is. What the target says of its own load is not used: it lags and lies.
+/// Each of the `waiting` flows, which expect a response, occupies one slot;
+/// `max_flows` open flows weigh as much as all slots. When all slots are busy
+/// the result is the highest load of an available agent. It is computed from
+/// the agent's own counts, so it does not lag like a load reported by the
+/// target.
 #[must_use]
-pub fn slot_load(flows: u32, waiting: u32, slots: u32, max: u32) -> u32 {
+pub fn slot_load(flows: u32, waiting: u32, slots: u32, max_flows: u32) -> u32 {
     if waiting >= slots {
         return UNAVAILABLE_LOAD - 1;
     }
-    let open =
-        u64::from(flows) * u64::from(slots) * u64::from(LOAD_PER_SLOT) / u64::from(max.max(1));
+    let open = u64::from(flows) * u64::from(slots) * u64::from(LOAD_PER_SLOT)
+        / u64::from(max_flows.max(1));
     let busy = u64::from(waiting) * u64::from(LOAD_PER_SLOT);
     u32::try_from(open + busy).unwrap_or(UNAVAILABLE_LOAD - 1)
 }
 
-/// The load of an agent whose target queues what its slots cannot take at
-/// once: `waiting` requests and `flows` open flows that each stand for
-/// `per_flow`. It goes on growing past the slots, so that of two targets that
-/// are both full the one with the shorter queue is lighter.
+/// Load of an agent whose target queues requests beyond its slots: `waiting`
+/// requests, and `flows` open flows that weigh `per_flow` each. It keeps growing
+/// when all slots are busy, so the target with the shorter queue has the lower
+/// load.
 #[must_use]
 pub fn backlog_load(flows: u32, waiting: u32, per_flow: u32) -> u32 {
     let busy = u64::from(waiting) * u64::from(LOAD_PER_SLOT);
@@ -85,17 +86,16 @@
     u32::try_from(busy + open).map_or(UNAVAILABLE_LOAD - 1, |load| load.min(UNAVAILABLE_LOAD - 1))
 }
 
-/// Whether `load` is below `theirs` by enough to move a flow: by more than a
-/// sixteenth and an eighth of a slot. Without the margin, short requests all
-/// follow small differences in long feeds, and pile up where the feeds are
-/// fewest.
-const fn lighter(load: u32, theirs: u32) -> bool {
-    theirs == UNAVAILABLE_LOAD
-        || load.saturating_add(load / 16).saturating_add(LOAD_PER_SLOT / 8) < theirs
+/// Whether `load` is below `other` by more than a sixteenth of `load` plus an
+/// eighth of a slot. The margin keeps small differences from sending most new
+/// flows to the same agents.
+const fn is_clearly_lower(load: u32, other: u32) -> bool {
+    other == UNAVAILABLE_LOAD
+        || load.saturating_add(load / 16).saturating_add(LOAD_PER_SLOT / 8) < other
 }
 
-/// What an agent does with an offer it took when its target then could not
-/// be reached.
+/// Decides on an offer that the agent accepted before the connection to its
+/// target failed.
 #[must_use]
 pub fn decide_unreachable(offer: Offer) -> OfferAction {
     decide_offer(Admission::Refuse(Refusal::Unreachable), UNAVAILABLE_LOAD, offer)
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -1,5 +1,5 @@
-//! The agent's state: its open flows, the orders in force, and what it does
-//! with each packet.
+//! State of an agent: its open flows and configuration, and the handling of
+//! each packet from a balancer.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -11,8 +11,8 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use super::config::Orders;
-use super::flow::{End, Timers, Waiting};
+use super::config::AgentConfig;
+use super::flow::{FlowEnd, FlowTimeouts, WaitingFlows};
 use super::mailbox::Mailbox;
 use super::placement::{self, decide_offer, decide_unreachable};
 use super::{Admission, OfferAction, admit, flow};
@@ -23,227 +23,226 @@
 use crate::settings::{Settings, TargetSettings};
 use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 
-/// How long a target that could not be reached is not tried again.
-const DOWN: Duration = Duration::from_secs(1);
+/// Pause in new flows after a failed connection to the target.
+const UNREACHABLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// One open flow.
-struct Held {
+/// One open flow, as the agent reaches its task.
+struct FlowHandle {
     owner: Owner,
     port: u16,
     inbox: Mailbox<Packet>,
 }
 
-/// One agent: its target, its flows and its orders.
+/// The agent of one target.
 pub struct Agent {
-    me: TargetSettings,
+    target: TargetSettings,
     sock: Rc<UdpSocket>,
-    flows: HashMap<u64, Held>,
-    per_port: HashMap<u16, usize>,
-    orders: Orders,
-    drain: Option<Instant>,
-    closed: bool,
-    down: Option<Instant>,
-    grace: Duration,
-    timers: Timers,
-    waiting: Waiting,
-    done: mpsc::UnboundedSender<(u64, End)>,
+    flows: HashMap<u64, FlowHandle>,
+    flows_per_port: HashMap<u16, usize>,
+    config: AgentConfig,
+    draining_since: Option<Instant>,
+    stopping: bool,
+    unreachable_since: Option<Instant>,
+    drain_grace: Duration,
+    timeouts: FlowTimeouts,
+    waiting: WaitingFlows,
+    ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
     tasks: JoinSet<()>,
     board: Board,
 }
 
 impl Agent {
-    /// An agent with no flows and no orders yet; `done` gets the id of each
-    /// flow that ends.
+    /// An agent without flows or profiles. `ended` receives the identifier of
+    /// each flow that ends.
     pub fn new(
-        me: TargetSettings,
+        target: TargetSettings,
         settings: &Settings,
         sock: UdpSocket,
-        done: mpsc::UnboundedSender<(u64, End)>,
+        ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
         board: Board,
     ) -> Self {
         Self {
-            me,
+            target,
             sock: Rc::new(sock),
             flows: HashMap::new(),
-            per_port: HashMap::new(),
-            orders: Orders::default(),
-            drain: None,
-            closed: false,
-            down: None,
-            grace: Duration::from_millis(settings.agent.grace_ms),
-            timers: Timers {
+            flows_per_port: HashMap::new(),
+            config: AgentConfig::default(),
+            draining_since: None,
+            stopping: false,
+            unreachable_since: None,
+            drain_grace: Duration::from_millis(settings.agent.grace_ms),
+            timeouts: FlowTimeouts {
                 idle: Duration::from_millis(settings.agent.idle_ms),
                 rto: Duration::from_millis(settings.agent.rto_ms),
                 give_up: Duration::from_millis(settings.agent.give_up_ms),
             },
-            waiting: Waiting::default(),
-            done,
+            waiting: WaitingFlows::default(),
+            ended,
             tasks: JoinSet::new(),
             board,
         }
     }
 
-    /// The target's name.
-    pub fn name(&self) -> Arc<str> {
-        self.me.name.clone()
+    pub fn target_name(&self) -> Arc<str> {
+        self.target.name.clone()
     }
 
-    /// The socket that flows answer on.
-    pub fn sock(&self) -> Rc<UdpSocket> {
+    /// The UDP socket for packets and replies.
+    pub fn socket(&self) -> Rc<UdpSocket> {
         self.sock.clone()
     }
 
-    /// Open flows.
-    pub fn len(&self) -> usize {
+    /// Number of open flows.
+    pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
     /// Whether no flow is open.
-    pub fn is_empty(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Takes no new flow from now on.
-    pub fn close(&mut self) {
-        self.closed = true;
+    /// Refuses new flows from now on.
+    pub fn stop_accepting(&mut self) {
+        self.stopping = true;
     }
 
-    /// Every task that the agent has started, for joining.
+    /// Takes the tasks of flows and replies, for the caller to shut down.
     pub fn take_tasks(&mut self) -> JoinSet<()> {
         std::mem::take(&mut self.tasks)
     }
 
-    /// Puts new orders in force.
-    pub fn apply_orders(&mut self, orders: Orders) {
-        let name = &self.me.name;
-        match (orders.drain, self.drain) {
+    /// Replaces the configuration; starts or ends the drain if it changed.
+    pub fn apply_config(&mut self, config: AgentConfig) {
+        let name = &self.target.name;
+        match (config.draining, self.draining_since) {
             (true, None) => {
-                log::info!("{} target {name} drains", events::AGENT_DRAIN);
-                self.drain = Some(Instant::now());
+                log::info!("{} target {name} is draining", events::AGENT_DRAIN);
+                self.draining_since = Some(Instant::now());
             }
             (false, Some(_)) => {
                 log::info!("{} target {name} back in service", events::AGENT_DRAIN);
-                self.drain = None;
+                self.draining_since = None;
             }
             _ => {}
         }
-        self.orders = orders;
+        self.config = config;
     }
 
     /// Removes a flow that ended.
-    pub fn forget(&mut self, flow: u64, end: End) {
-        self.down = match end {
-            End::Unreachable => Some(Instant::now()),
-            _ => self.down,
+    pub fn remove_flow(&mut self, flow_id: u64, end: FlowEnd) {
+        self.unreachable_since = match end {
+            FlowEnd::Unreachable => Some(Instant::now()),
+            _ => self.unreachable_since,
         };
-        if let Some(held) = self.flows.remove(&flow) {
-            if let Some(n) = self.per_port.get_mut(&held.port) {
+        if let Some(handle) = self.flows.remove(&flow_id) {
+            if let Some(n) = self.flows_per_port.get_mut(&handle.port) {
                 *n -= 1;
             }
-            self.publish();
+            self.publish_flow_counts();
         }
     }
 
-    /// Takes one packet.
-    pub fn take(&mut self, p: Packet) {
+    /// Opens a flow, delivers the packet to its flow, or resets an unknown one.
+    pub fn handle_packet(&mut self, p: Packet) {
         if p.kind == PacketKind::Open {
-            self.open(p);
+            self.handle_open(p);
             return;
         }
         match self.flows.get(&p.flow) {
-            Some(h) if h.owner == p.owner => {
-                h.inbox.send(p);
+            Some(handle) if handle.owner == p.owner => {
+                handle.inbox.send(p);
             }
             _ if p.kind == PacketKind::Reset => {}
             _ => {
                 metrics::refused(Refusal::UnknownFlow);
-                self.reply(&p, p.owner, ReplyKind::Reset);
+                self.send_reply(&p, p.owner, ReplyKind::Reset);
             }
         }
     }
 
-    /// Answers a packet whose flow this agent does not hold.
-    fn reply(&mut self, p: &Packet, owner: Owner, answer: ReplyKind) {
+    /// Replies to a packet of a flow that is not open here.
+    fn send_reply(&mut self, p: &Packet, owner: Owner, kind: ReplyKind) {
         let (sock, to) = (self.sock.clone(), p.reply_to);
-        let reply = Reply { flow: p.flow, port: p.port, owner, kind: answer };
-        self.spawn(async move { flow::send(&sock, to, reply).await });
+        let reply = Reply { flow: p.flow, port: p.port, owner, kind };
+        self.spawn(async move { flow::send_reply(&sock, to, reply).await });
     }
 
-    fn open(&mut self, p: Packet) {
-        if let Some(h) = self.flows.get(&p.flow) {
-            h.inbox.send(p);
+    fn handle_open(&mut self, p: Packet) {
+        if let Some(handle) = self.flows.get(&p.flow) {
+            handle.inbox.send(p);
             return;
         }
-        let Some(profile) = self.orders.profiles.get(&p.port) else {
+        let Some(profile) = self.config.profiles.get(&p.port) else {
             metrics::refused(Refusal::NoProfile);
             return;
         };
-        if profile.service != self.me.service {
+        if profile.service != self.target.service {
             metrics::refused(Refusal::ForeignOwner);
             return;
         }
-        let max = profile.max_flows;
-        let open = self.per_port.get(&p.port).copied().unwrap_or(0);
-        let since = self.drain.map(|d| d.elapsed());
-        let mut admit = admit(since, self.grace, self.closed, open, max as usize);
-        if self.down.is_some_and(|at| at.elapsed() < DOWN) {
-            admit = Admission::Refuse(Refusal::Unreachable);
+        let max_flows = profile.max_flows;
+        let open_flows = self.flows_per_port.get(&p.port).copied().unwrap_or(0);
+        let draining_for = self.draining_since.map(|at| at.elapsed());
+        let mut admission =
+            admit(draining_for, self.drain_grace, self.stopping, open_flows, max_flows as usize);
+        if self.unreachable_since.is_some_and(|at| at.elapsed() < UNREACHABLE_PAUSE) {
+            admission = Admission::Refuse(Refusal::Unreachable);
         }
-        let me = v4(self.me.agent);
-        let offer = p.offer.unwrap_or(Offer { first: me, second: None, stage: OfferStage::Take });
-        match decide_offer(admit, self.load(max), offer) {
-            OfferAction::Accept => self.start(p, offer),
-            OfferAction::PassOn(on) => self.pass(p, on),
+        let own_addr = ipv4_addr(self.target.agent);
+        let offer =
+            p.offer.unwrap_or(Offer { first: own_addr, second: None, stage: OfferStage::Take });
+        match decide_offer(admission, self.load(max_flows), offer) {
+            OfferAction::Accept => self.start_flow(p, offer),
+            OfferAction::PassOn(next) => self.pass_on(p, next),
             OfferAction::Refuse(reason) => self.refuse(&p, reason),
         }
     }
 
-    /// This agent's load as offers compare it.
-    fn load(&self, max: u32) -> u32 {
+    /// The load that decides offers; see [`placement::slot_load`].
+    fn load(&self, max_flows: u32) -> u32 {
         let flows = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
-        placement::slot_load(flows, self.waiting.count(), self.me.slots, max)
+        placement::slot_load(flows, self.waiting.count(), self.target.slots, max_flows)
     }
 
-    /// Passes an open, of which nothing ran, to the other candidate.
-    fn pass(&mut self, p: Packet, offer: Offer) {
+    fn pass_on(&mut self, p: Packet, offer: Offer) {
         let sock = self.sock.clone();
-        self.spawn(async move { pass_on(&sock, p, offer).await });
+        self.spawn(async move { send_offer(&sock, p, offer).await });
     }
 
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
         metrics::refused(reason);
-        log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_REFUSE, p.flow);
-        let owner = Owner::new(v4(self.me.agent), 0);
-        self.reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
+        log::info!("{} flow {:x} refused, nothing was run: {reason}", events::AGENT_REFUSE, p.flow);
+        let owner = Owner::new(ipv4_addr(self.target.agent), 0);
+        self.send_reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
     }
 
-    fn start(&mut self, p: Packet, offer: Offer) {
+    fn start_flow(&mut self, p: Packet, offer: Offer) {
         let nonce = rand::random::<u16>().max(1);
-        let owner = Owner::new(v4(self.me.agent), nonce);
+        let owner = Owner::new(ipv4_addr(self.target.agent), nonce);
         let inbox = Mailbox::default();
-        let rx = inbox.clone();
-        let spec = flow::Spec {
-            flow: p.flow,
+        let params = flow::FlowParams {
+            flow_id: p.flow,
             port: p.port,
             owner,
-            reply: p.reply_to,
-            target: self.me.addr,
-            timers: self.timers,
+            reply_to: p.reply_to,
+            target: self.target.addr,
+            timeouts: self.timeouts,
         };
-        let (sock, done) = (self.sock.clone(), self.done.clone());
-        let waiting = self.waiting.clone();
-        *self.per_port.entry(p.port).or_default() += 1;
-        self.flows.insert(p.flow, Held { owner, port: p.port, inbox });
+        let (sock, ended) = (self.sock.clone(), self.ended.clone());
+        let (packets, waiting) = (inbox.clone(), self.waiting.clone());
+        *self.flows_per_port.entry(p.port).or_default() += 1;
+        self.flows.insert(p.flow, FlowHandle { owner, port: p.port, inbox });
         self.spawn(async move {
-            let end = flow::run(sock.clone(), spec.clone(), waiting, rx).await;
+            let end = flow::run(sock.clone(), params.clone(), waiting, packets).await;
             match end {
-                End::Unreachable => unreachable(&sock, &spec, p, offer).await,
-                End::Idle | End::Silent => spec.send(&sock, ReplyKind::Reset).await,
-                End::Closed | End::Reset => {}
+                FlowEnd::Unreachable => decline_unreachable(&sock, &params, p, offer).await,
+                FlowEnd::Idle | FlowEnd::Silent => params.send_reply(&sock, ReplyKind::Reset).await,
+                FlowEnd::Closed | FlowEnd::Reset => {}
             }
-            let _ = done.send((spec.flow, end));
+            let _ = ended.send((params.flow_id, end));
         });
-        self.publish();
+        self.publish_flow_counts();
     }
 
     fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
@@ -251,13 +250,14 @@
         self.tasks.spawn_local(task);
     }
 
-    fn publish(&self) {
+    fn publish_flow_counts(&self) {
         let flows = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
         self.board.set_flows(flows, self.waiting.count());
     }
 }
 
-async fn pass_on(sock: &UdpSocket, mut p: Packet, offer: Offer) {
+/// Sends an open to the agent that decides on `offer` next.
+async fn send_offer(sock: &UdpSocket, mut p: Packet, offer: Offer) {
     metrics::retried(Retry::PassedOn);
     p.offer = Some(offer);
     if let Ok(bytes) = wire::encode(&p) {
@@ -265,20 +265,21 @@
     }
 }
 
-/// The target of a flow just taken cannot be reached: nothing ran, so the
-/// open may go to the other candidate.
-async fn unreachable(sock: &UdpSocket, spec: &flow::Spec, p: Packet, offer: Offer) {
+/// Passes on or refuses an open that was accepted but whose target could not
+/// be reached. No caller data was delivered, so another target may accept it.
+async fn decline_unreachable(sock: &UdpSocket, params: &flow::FlowParams, p: Packet, offer: Offer) {
     match decide_unreachable(offer) {
-        OfferAction::PassOn(on) => pass_on(sock, p, on).await,
+        OfferAction::PassOn(next) => send_offer(sock, p, next).await,
         OfferAction::Accept | OfferAction::Refuse(_) => {
             let reason = Refusal::Unreachable;
             metrics::refused(reason);
-            spec.send(sock, ReplyKind::Refuse { body: refusal::response(reason) }).await;
+            params.send_reply(sock, ReplyKind::Refuse { body: refusal::response(reason) }).await;
         }
     }
 }
 
-fn v4(addr: SocketAddr) -> SocketAddrV4 {
+/// The IPv4 address, or 0.0.0.0:0 for an IPv6 one, which the settings rule out.
+fn ipv4_addr(addr: SocketAddr) -> SocketAddrV4 {
     match addr {
         SocketAddr::V4(a) => a,
         SocketAddr::V6(_) => SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
