--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,10 +1,9 @@
-//! The balancer: takes packets from the fabric and hands each to an agent.
+//! The balancer: forwards packets from the fabric to agents, without per-flow
+//! state.
 //!
-//! It keeps no per-flow state. A packet that names its owner goes to that
-//! owner, if the owner is an agent of the profile's service; a packet that
-//! opens a flow goes to the agent that the lookup table picks. The view of
-//! profiles and targets comes from a watch on the key-value service and is
-//! kept through its outages.
+//! A packet that names its owner goes to that agent if it belongs to the
+//! profile's service; an open goes to agents chosen by consistent hashing. The
+//! view of profiles and targets follows the store and is kept during outages.
 
 pub mod registry;
 pub mod view;
@@ -32,21 +31,21 @@
 use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 use crate::{events, record, refusal};
 
-/// Largest datagram taken, in bytes.
-const DATAGRAM: usize = 64 * 1024;
+/// Size of the receive buffer, at least that of the largest UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Where a packet goes.
+/// What to do with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// To this agent, as it is.
+    /// Send it unchanged to this agent.
     Forward(SocketAddrV4),
-    /// An open, offered to these agents.
+    /// Send it, an open, with this offer to the first agent of the offer.
     Offer(Offer),
-    /// Nowhere, for this reason.
+    /// Drop it, for this reason.
     Drop(Refusal),
 }
 
-/// Picks the agent for a packet from a view.
+/// Decides where a packet goes.
 #[must_use]
 pub fn route_packet(view: &View, p: &Packet) -> RouteDecision {
     let Some(route) = view.routes.get(&p.port) else {
@@ -58,91 +57,98 @@
             _ => RouteDecision::Drop(Refusal::ForeignOwner),
         };
     }
-    match offer(route, p.flow, p.seq) {
+    match make_offer(route, p.flow, p.seq) {
         Some(offer) => RouteDecision::Offer(offer),
         None => RouteDecision::Drop(Refusal::NoTarget),
     }
 }
 
-/// The offer for try `attempt` of a flow. Every balancer with the same view
-/// makes the same one. The second try turns the candidates round and later
-/// ones pick others, so that a dead candidate costs one resend timeout.
-fn offer(route: &Route, flow: u64, attempt: u32) -> Option<Offer> {
+/// Builds the offer for an open. Balancers with the same view build the same
+/// one. The second attempt swaps the candidates and later ones choose others, so
+/// that an unreachable candidate delays the open by one resend timeout only.
+fn make_offer(route: &Route, flow: u64, attempt: u32) -> Option<Offer> {
     let key = if attempt < 2 { flow } else { flow.rotate_left(attempt) };
-    let (&a, b) = route.pool.table.lookup_pair(key)?;
-    let b = b.copied();
-    Some(match (attempt, route.profile.policy, b) {
-        (1, _, Some(b)) => Offer { first: b, second: Some(a), stage: OfferStage::Take },
-        (0, Policy::Least, _) => Offer { first: a, second: b, stage: OfferStage::Ask },
-        _ => Offer { first: a, second: b, stage: OfferStage::Take },
+    let (&primary, alternate) = route.pool.table.lookup_pair(key)?;
+    let second = alternate.copied();
+    Some(match (attempt, route.profile.policy, second) {
+        (1, _, Some(first)) => Offer { first, second: Some(primary), stage: OfferStage::Take },
+        (0, Policy::Least, _) => Offer { first: primary, second, stage: OfferStage::Ask },
+        _ => Offer { first: primary, second, stage: OfferStage::Take },
     })
 }
 
-/// Runs the balancer `name` of `settings` until the process stops.
+/// Runs the balancer `name` until SIGTERM or SIGINT. It then reports itself as
+/// not ready and keeps forwarding for `linger_ms`.
 ///
 /// # Errors
 ///
-/// Fails when the balancer is not in the settings or its address is taken.
+/// Fails when the balancer is not in the settings, an address cannot be bound
+/// or receiving fails.
 pub async fn run(settings: &Settings, name: &str) -> anyhow::Result<()> {
-    let me = settings.balancer(name)?.clone();
-    let sock = UdpSocket::bind(me.addr)
+    let balancer = settings.balancer(name)?.clone();
+    let sock = UdpSocket::bind(balancer.addr)
         .await
-        .with_context(|| format!("balancer {name}: binding {}", me.addr))?;
+        .with_context(|| format!("balancer {name}: binding {}", balancer.addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
     let view = Rc::new(RefCell::new(View::default()));
-    log::info!("{} balancer {name} in {} on {}", events::BALANCER_START, me.zone, me.addr);
-    let board = Board::new(me.name.clone(), keys.config_prefix().into());
-    let desk = admin::Server::start(me.addr, board.clone()).await?;
+    log::info!(
+        "{} balancer {name} in {} on {}",
+        events::BALANCER_START,
+        balancer.zone,
+        balancer.addr
+    );
+    let board = Board::new(balancer.name.clone(), keys.config_prefix().into());
+    let admin_server = admin::Server::start(balancer.addr, board.clone()).await?;
     let source = Source {
         store: store.clone(),
         prefix: keys.root_prefix(),
-        peers: settings.peers(me.addr),
+        peers: settings.peers(balancer.addr),
         peer_fallback: store::mirror::PeerFallback::WhenEmpty,
         batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
     };
-    let watcher = tokio::task::spawn_local(view_updater::follow(
+    let view_task = tokio::task::spawn_local(view_updater::keep_current(
         source,
         keys.clone(),
         view.clone(),
         board.clone(),
-        view_updater::Hold {
-            missing: ms(settings.entry.hold_ms),
+        view_updater::HoldTimes {
+            targets: ms(settings.entry.hold_ms),
             owners: ms(settings.entry.owner_ms),
         },
     ));
-    let announcer = tokio::task::spawn_local(announce(
+    let lease_task = tokio::task::spawn_local(maintain_registration(
         store.clone(),
         keys.clone(),
-        me.clone(),
+        balancer.clone(),
         settings.agent.lease_ms,
     ));
     let mut term = signal(SignalKind::terminate()).context("balancer: signal")?;
     let mut int = signal(SignalKind::interrupt()).context("balancer: signal")?;
-    let res = tokio::select! {
-        r = forward(&sock, &view) => r,
+    let result = tokio::select! {
+        r = forward_packets(&sock, &view) => r,
         _ = term.recv() => Ok(()),
         _ = int.recv() => Ok(()),
     };
-    // A planned stop: say so, and forward what still comes meanwhile.
+    // The fabric may send packets until it learns that the balancer is not ready.
     board.set_ready(false);
-    watcher.abort();
+    view_task.abort();
     let linger = ms(settings.entry.linger_ms);
-    let _ = tokio::time::timeout(linger, forward(&sock, &view)).await;
-    desk.stop().await;
-    announcer.abort();
-    let _ = watcher.await;
-    let _ = announcer.await;
+    let _ = tokio::time::timeout(linger, forward_packets(&sock, &view)).await;
+    admin_server.stop().await;
+    lease_task.abort();
+    let _ = view_task.await;
+    let _ = lease_task.await;
     let _ = store.delete(&keys.balancer(name)).await;
     log::info!("{} balancer {name} stopped", events::BALANCER_STOP);
-    res
+    result
 }
 
-async fn forward(sock: &UdpSocket, view: &RefCell<View>) -> anyhow::Result<()> {
-    let mut buf = vec![0u8; DATAGRAM];
+async fn forward_packets(sock: &UdpSocket, view: &RefCell<View>) -> anyhow::Result<()> {
+    let mut buf = vec![0u8; MAX_DATAGRAM_BYTES];
     loop {
-        let (n, _) = sock.recv_from(&mut buf).await.context("balancer: receiving")?;
+        let (n, _) = sock.recv_from(&mut buf).await.context("balancer: receiving a packet")?;
         let Ok(mut p) = wire::decode::<Packet>(&buf[..n]) else {
             continue;
         };
@@ -161,43 +167,52 @@
             RouteDecision::Drop(reason) => {
                 metrics::refused(reason);
                 log::debug!("{} flow {:x} dropped: {reason}", events::BALANCER_DROP, p.flow);
-                refuse(sock, &p, reason).await
+                refuse_open(sock, &p, reason).await
             }
         };
         if let Err(e) = sent {
-            log::debug!("{} flow {:x}: {e}", events::BALANCER_DROP, p.flow);
+            log::debug!("{} flow {:x} not forwarded: {e}", events::BALANCER_DROP, p.flow);
         }
     }
 }
 
-/// Tells the caller at once that nothing can take its flow. The first try is
-/// left unanswered: the next one may meet a balancer that knows more.
-async fn refuse(sock: &UdpSocket, p: &Packet, reason: Refusal) -> std::io::Result<()> {
-    let hopeless = matches!(reason, Refusal::NoProfile | Refusal::NoTarget);
-    if p.kind != PacketKind::Open || p.seq == 0 || !hopeless {
+/// Refuses a new flow that no agent can accept. The first attempt gets no reply,
+/// as the next one may reach a balancer with a newer view.
+async fn refuse_open(sock: &UdpSocket, p: &Packet, reason: Refusal) -> std::io::Result<()> {
+    let no_agent = matches!(reason, Refusal::NoProfile | Refusal::NoTarget);
+    if p.kind != PacketKind::Open || p.seq == 0 || !no_agent {
         return Ok(());
     }
-    let answer = ReplyKind::Refuse { body: refusal::response(reason) };
-    let reply = Reply { flow: p.flow, port: p.port, owner: Owner::NONE, kind: answer };
+    let kind = ReplyKind::Refuse { body: refusal::response(reason) };
+    let reply = Reply { flow: p.flow, port: p.port, owner: Owner::NONE, kind };
     let Ok(bytes) = wire::encode(&reply) else { return Ok(()) };
     sock.send_to(&bytes, p.reply_to).await.map(drop)
 }
 
-/// Invariant: a packet of a profile goes only to agents of its service.
+/// Checks the invariant that packets of a profile go only to agents of its service.
 fn check_service(view: &View, port: u16, to: SocketAddrV4) {
-    let own = view.routes.get(&port).is_some_and(|r| r.pool.owners.contains(&to));
-    metrics::invariant(own, "own_service", || format!("port {port} to {to}"));
+    let same_service = view.routes.get(&port).is_some_and(|r| r.pool.owners.contains(&to));
+    metrics::invariant(same_service, "own_service", || format!("port {port} to {to}"));
 }
 
-/// Announces the balancer under a lease and keeps the lease alive.
-async fn announce(store: store::Client, keys: KeyLayout, me: BalancerSettings, lease_ms: u64) {
-    let rec = record::Balancer { name: me.name.clone(), zone: me.zone.clone(), addr: me.addr };
+/// Keeps the balancer registered in the store under a lease.
+async fn maintain_registration(
+    store: store::Client,
+    keys: KeyLayout,
+    balancer: BalancerSettings,
+    lease_ms: u64,
+) {
+    let rec = record::Balancer {
+        name: balancer.name.clone(),
+        zone: balancer.zone.clone(),
+        addr: balancer.addr,
+    };
     let Ok(value) = serde_json::to_vec(&rec) else {
         return;
     };
-    let (_keep, value) = tokio::sync::watch::channel(value);
+    let (_sender, value) = tokio::sync::watch::channel(value);
     let check = tokio::sync::Notify::new();
-    store::lease::maintain(&store, &keys.balancer(&me.name), value, lease_ms, &check).await;
+    store::lease::maintain(&store, &keys.balancer(&balancer.name), value, lease_ms, &check).await;
 }
 
 const fn ms(v: u64) -> Duration {
--- a/src/balancer/registry.rs
+++ b/src/balancer/registry.rs
@@ -1,15 +1,10 @@
-//! The targets a balancer believes in, after judging what the announcements
-//! in the store say.
+//! Registered targets of all services, with those whose registration is missing.
 //!
-//! One announcement that disappears means a dead target: it leaves at once.
-//! Most of a service's announcements disappearing together means that the
-//! key-value service let their leases lapse (an outage, a pause): the balancer
-//! then keeps using them until the service has answered for a whole hold time
-//! without bringing them back. A target whose last announcement said that it
-//! was leaving is never held.
-//!
-//! Owners of established flows are remembered longer: a lapsed lease must not
-//! cut a flow whose agent is alive.
+//! A registration that disappears alone means a failed target, which gets no
+//! new flows. When most of a service's registrations disappear together, the
+//! cause is taken to be the store (leases lapsed during an outage), and the
+//! targets stay in use for a hold time, which a store failure restarts. Owners
+//! of established flows are remembered longer, as their agents may be alive.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,102 +13,110 @@
 use crate::record::Target;
 use crate::settings::Service;
 
-/// One target and, when its announcement is missing, since when and whether
-/// most of its service went with it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Entry {
     target: Target,
-    gone: Option<Instant>,
-    together: bool,
+    missing_since: Option<Instant>,
+    /// Whether most of its service went missing within the same hold time.
+    lapsed_together: bool,
 }
 
-/// The targets as last announced, with those that went missing.
+/// The targets as last registered, including missing ones.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRegistry {
-    seen: BTreeMap<Arc<str>, Seen>,
+    entries: BTreeMap<Arc<str>, Entry>,
     hold: Duration,
-    keep: Duration,
+    owner_retention: Duration,
 }
 
 impl TargetRegistry {
-    /// An empty roster that holds targets missing together for `hold`, and
-    /// remembers the owners of established flows for `keep`.
+    /// An empty registry. Targets that go missing together stay in use for
+    /// `hold`; the owners of established flows are remembered for
+    /// `owner_retention` after their registration is gone.
     #[must_use]
-    pub const fn new(hold: Duration, keep: Duration) -> Self {
-        Self { seen: BTreeMap::new(), hold, keep }
+    pub const fn new(hold: Duration, owner_retention: Duration) -> Self {
+        Self { entries: BTreeMap::new(), hold, owner_retention }
     }
 
-    /// Takes in the announcements as the store has them now.
-    pub fn update(&mut self, announced: Vec<Target>, now: Instant) {
-        for s in self.seen.values_mut() {
-            s.gone = s.gone.or(Some(now));
+    /// Applies a complete list of the current registrations.
+    pub fn update(&mut self, registered: Vec<Target>, now: Instant) {
+        for e in self.entries.values_mut() {
+            e.missing_since = e.missing_since.or(Some(now));
         }
-        for target in announced {
-            self.seen.insert(target.name.clone(), Seen { target, gone: None, together: false });
+        for target in registered {
+            let entry = Entry { target, missing_since: None, lapsed_together: false };
+            self.entries.insert(entry.target.name.clone(), entry);
         }
-        self.mark_together(now);
-        let keep = self.keep.max(self.hold);
-        self.seen.retain(|_, s| s.gone.is_none_or(|at| now.duration_since(at) < keep));
+        self.mark_lapsed_together(now);
+        let retention = self.owner_retention.max(self.hold);
+        self.entries
+            .retain(|_, e| e.missing_since.is_none_or(|at| now.duration_since(at) < retention));
     }
 
-    /// The store failed at `now`: the hold of what lapsed together starts
-    /// anew, since its holders could not renew. What died alone stays gone.
+    /// Restarts the hold of targets that lapsed together, after a store failure
+    /// at `now` during which agents could not renew their leases.
     pub fn restart_hold(&mut self, now: Instant) {
-        for s in self.seen.values_mut().filter(|s| s.together) {
-            s.gone = s.gone.map(|_| now);
+        for e in self.entries.values_mut().filter(|e| e.lapsed_together) {
+            e.missing_since = e.missing_since.map(|_| now);
         }
     }
 
-    /// Targets of `service` that may get new flows, drains not considered.
+    /// Targets of `service` that may get new flows; does not consider drains
+    /// ordered by operators.
     pub fn serving(&self, service: Service, now: Instant) -> impl Iterator<Item = &Target> {
-        let used = move |s: &&Seen| s.gone.is_none_or(|at| s.together && self.fresh(at, now));
-        self.of(service).filter(used).map(|s| &s.target).filter(|t| !t.stopping)
+        let in_use = move |e: &&Entry| {
+            e.missing_since.is_none_or(|at| e.lapsed_together && self.is_within_hold(at, now))
+        };
+        self.entries_of(service).filter(in_use).map(|e| &e.target).filter(|t| !t.stopping)
     }
 
     /// Targets of `service` whose agents may own established flows.
     pub fn owners(&self, service: Service) -> impl Iterator<Item = &Target> {
-        self.of(service)
-            .filter(|s| s.gone.is_none() || !self.reused(s.target.agent))
-            .map(|s| &s.target)
+        self.entries_of(service)
+            .filter(|e| e.missing_since.is_none() || !self.is_registered(e.target.agent))
+            .map(|e| &e.target)
     }
 
-    /// Whether a hold ended after `from` and not after `to`.
+    /// Whether the hold of any target expired between `from` and `to`, both
+    /// included.
     #[must_use]
     pub fn hold_expired(&self, from: Instant, to: Instant) -> bool {
-        let ended = |at: Instant| (from..=to).contains(&(at + self.hold));
-        self.seen.values().filter_map(|s| s.gone).any(ended)
+        let expired = |at: Instant| (from..=to).contains(&(at + self.hold));
+        self.entries.values().filter_map(|e| e.missing_since).any(expired)
     }
 
-    fn of(&self, service: Service) -> impl Iterator<Item = &Seen> {
-        self.seen.values().filter(move |s| s.target.service == service)
+    fn entries_of(&self, service: Service) -> impl Iterator<Item = &Entry> {
+        self.entries.values().filter(move |e| e.target.service == service)
     }
 
-    fn fresh(&self, at: Instant, now: Instant) -> bool {
-        now.duration_since(at) < self.hold
+    fn is_within_hold(&self, missing_since: Instant, now: Instant) -> bool {
+        now.duration_since(missing_since) < self.hold
     }
 
-    /// Marks the targets of each service of which more went missing lately
-    /// than are left.
-    fn mark_together(&mut self, now: Instant) {
-        let mut balance: HashMap<Service, i64> = HashMap::new();
-        for s in self.seen.values().filter(|s| s.gone.is_none() || lately(s, self.hold, now)) {
-            *balance.entry(s.target.service).or_default() += if s.gone.is_some() { 1 } else { -1 };
-        }
+    /// Marks recently missing targets of each service that has more of them
+    /// than registered ones.
+    fn mark_lapsed_together(&mut self, now: Instant) {
+        // Missing minus registered targets.
+        let mut excess: HashMap<Service, i64> = HashMap::new();
         let hold = self.hold;
-        for s in self.seen.values_mut() {
-            let more = balance.get(&s.target.service).is_some_and(|n| *n > 0);
-            s.together |= more && lately(s, hold, now);
+        let counted = |e: &&Entry| e.missing_since.is_none() || is_recently_missing(e, hold, now);
+        for e in self.entries.values().filter(counted) {
+            let delta = if e.missing_since.is_some() { 1 } else { -1 };
+            *excess.entry(e.target.service).or_default() += delta;
+        }
+        for e in self.entries.values_mut() {
+            let most_missing = excess.get(&e.target.service).is_some_and(|n| *n > 0);
+            e.lapsed_together |= most_missing && is_recently_missing(e, hold, now);
         }
     }
 
-    /// Whether another target now announces this agent address.
-    fn reused(&self, agent: std::net::SocketAddr) -> bool {
-        self.seen.values().any(|s| s.gone.is_none() && s.target.agent == agent)
+    fn is_registered(&self, agent: std::net::SocketAddr) -> bool {
+        self.entries.values().any(|e| e.missing_since.is_none() && e.target.agent == agent)
     }
 }
 
-/// Whether a target went missing less than `hold` ago, without having said
-/// that it was leaving.
-fn lately(s: &Seen, hold: Duration, now: Instant) -> bool {
-    !s.target.stopping && s.gone.is_some_and(|at| now.duration_since(at) < hold)
+/// Whether a target went missing less than `hold` ago, other than by a planned
+/// stop.
+fn is_recently_missing(entry: &Entry, hold: Duration, now: Instant) -> bool {
+    !entry.target.stopping && entry.missing_since.is_some_and(|at| now.duration_since(at) < hold)
 }
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -1,5 +1,5 @@
-//! What a balancer knows: profiles by port and, for each, the lookup table
-//! over the targets in service and the set of all its agents.
+//! The balancer's view of profiles and targets: routes by port, each with the
+//! lookup table for new flows and the agents that may own established ones.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -12,38 +12,38 @@
 use crate::store::KeyLayout;
 use crate::store::mirror::KeyMap;
 
-/// One profile as the balancer uses it.
+/// Where the packets of one profile go.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The profile as the operator declared it.
+    /// The profile as written by the operator.
     pub profile: ProfileSettings,
-    /// The targets of its service, shared by every profile of that service.
+    /// The targets of its service; shared by all profiles of the service.
     pub pool: Arc<Pool>,
 }
 
 /// The targets of one service.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Targets in service, for new flows.
+    /// Agent addresses of the targets that may get new flows.
     pub table: MaglevTable<SocketAddrV4>,
-    /// Every known agent of the service, draining ones included: the owners
-    /// that established flows may name.
+    /// Addresses of all agents that established flows may name as owner,
+    /// including those of draining targets.
     pub owners: HashSet<SocketAddrV4>,
 }
 
-/// Every profile the balancer can route, by caller-facing port.
+/// Routes of all profiles that the balancer serves.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Routes by port.
+    /// Routes by caller-facing port.
     pub routes: HashMap<u16, Route>,
 }
 
 impl View {
-    /// Builds the view from a copy of the store's keys, trusting every
-    /// announcement as it stands.
+    /// Builds a view from the store's keys alone: only targets registered in
+    /// `key_map` are used, and none is held.
     #[must_use]
-    pub fn build(keys: &KeyLayout, copy: &KeyMap) -> Self {
+    pub fn build(keys: &KeyLayout, key_map: &KeyMap) -> Self {
         let mut builder = ViewBuilder::new(keys.clone(), super::TargetRegistry::default());
-        builder.build(copy, Instant::now())
+        builder.build(key_map, Instant::now())
     }
 }
--- a/src/balancer/view_builder.rs
+++ b/src/balancer/view_builder.rs
@@ -1,6 +1,6 @@
-//! Builds the view anew after each change, touching only what changed: a key
-//! is parsed once per revision, and a service whose targets stayed the same
-//! keeps its table.
+//! Builds the view after each change of the store. Only changed keys are parsed
+//! again, and the lookup table of a service is kept while its targets stay the
+//! same.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -14,46 +14,49 @@
 use crate::store::mirror::KeyMap;
 use crate::store::{KeyLayout, Kv};
 
-/// One key of the store, parsed.
+/// The parsed value of one key.
 #[derive(Clone, Debug)]
 enum Record {
     Profile(ProfileSettings),
     Target(record::Target),
+    /// A drain order for the target of this name.
     Drain(Arc<str>),
+    /// A key that the view does not use, or whose value cannot be parsed.
     Other,
 }
 
-/// What the view is built from, kept between changes of the store.
+/// Builds views incrementally; keeps parsed keys and pools between builds.
 #[derive(Debug)]
 pub struct ViewBuilder {
     keys: KeyLayout,
+    /// Parsed keys with the revision they were parsed at.
     parsed: BTreeMap<Arc<str>, (i64, Record)>,
     pools: HashMap<Service, Arc<Pool>>,
-    /// The judgement of the announcements.
+    /// Registered targets, and missing ones that are still in use.
     pub registry: TargetRegistry,
 }
 
 impl ViewBuilder {
-    /// A builder for the store's `keys`, whose announcements `roster` judges.
+    /// A builder without parsed keys, for the layout `keys`.
     #[must_use]
-    pub fn new(keys: KeyLayout, roster: TargetRegistry) -> Self {
-        Self { keys, parsed: BTreeMap::new(), pools: HashMap::new(), registry: roster }
+    pub fn new(keys: KeyLayout, registry: TargetRegistry) -> Self {
+        Self { keys, parsed: BTreeMap::new(), pools: HashMap::new(), registry }
     }
 
-    /// The view of the store's keys as they are now.
-    pub fn build(&mut self, copy: &KeyMap, now: Instant) -> View {
-        self.parse(copy);
+    /// Builds the view of the keys in `key_map`.
+    pub fn build(&mut self, key_map: &KeyMap, now: Instant) -> View {
+        self.parse_changed(key_map);
         let targets = self.records().filter_map(|r| match r {
             Record::Target(t) => Some(t.clone()),
             _ => None,
         });
         let targets = targets.collect();
         self.registry.update(targets, now);
-        self.pool(now);
+        self.update_pools(now);
         let routes = self.records().filter_map(|r| match r {
-            Record::Profile(spec) => {
-                let pool = self.pools.get(&spec.service)?.clone();
-                Some((spec.listen.port(), Route { profile: spec.clone(), pool }))
+            Record::Profile(profile) => {
+                let pool = self.pools.get(&profile.service)?.clone();
+                Some((profile.listen.port(), Route { profile: profile.clone(), pool }))
             }
             _ => None,
         });
@@ -64,23 +67,24 @@
         self.parsed.values().map(|(_, record)| record)
     }
 
-    fn parse(&mut self, copy: &KeyMap) {
-        self.parsed.retain(|key, _| copy.contains_key(key));
-        for (key, kv) in copy {
+    fn parse_changed(&mut self, key_map: &KeyMap) {
+        self.parsed.retain(|key, _| key_map.contains_key(key));
+        for (key, kv) in key_map {
             if self.parsed.get(key).is_none_or(|(rev, _)| *rev != kv.rev) {
-                self.parsed.insert(key.clone(), (kv.rev, record(&self.keys, kv)));
+                self.parsed.insert(key.clone(), (kv.rev, parse_record(&self.keys, kv)));
             }
         }
     }
 
-    /// Brings the pool of every service that a profile names up to date.
-    fn pool(&mut self, now: Instant) {
+    /// Rebuilds the pools of the services in use; unchanged pools and tables are
+    /// shared with the previous view.
+    fn update_pools(&mut self, now: Instant) {
         let mut services = HashSet::new();
-        let mut drains = HashSet::new();
+        let mut draining = HashSet::new();
         for r in self.records() {
             match r {
-                Record::Profile(spec) => drop(services.insert(spec.service)),
-                Record::Drain(name) => drop(drains.insert(name.clone())),
+                Record::Profile(profile) => drop(services.insert(profile.service)),
+                Record::Drain(name) => drop(draining.insert(name.clone())),
                 Record::Target(_) | Record::Other => {}
             }
         }
@@ -89,12 +93,12 @@
             let serving: Vec<(Arc<str>, SocketAddrV4)> = self
                 .registry
                 .serving(service, now)
-                .filter(|t| !drains.contains(&t.name))
-                .filter_map(|t| Some((t.name.clone(), v4(t.agent)?)))
+                .filter(|t| !draining.contains(&t.name))
+                .filter_map(|t| Some((t.name.clone(), ipv4_addr(t.agent)?)))
                 .collect();
-            let owners = self.registry.owners(service).filter_map(|t| v4(t.agent)).collect();
-            let before = self.pools.get(&service);
-            let pool = match before {
+            let owners = self.registry.owners(service).filter_map(|t| ipv4_addr(t.agent)).collect();
+            let previous = self.pools.get(&service);
+            let pool = match previous {
                 Some(p) if p.table.entries() == serving && p.owners == owners => p.clone(),
                 Some(p) if p.table.entries() == serving => {
                     Arc::new(Pool { table: p.table.clone(), owners })
@@ -107,7 +111,7 @@
     }
 }
 
-fn record(keys: &KeyLayout, kv: &Kv) -> Record {
+fn parse_record(keys: &KeyLayout, kv: &Kv) -> Record {
     match keys.split(&kv.key) {
         Some(("profiles", _)) => serde_json::from_slice::<record::Profile>(&kv.value)
             .map_or(Record::Other, |p| Record::Profile(p.spec)),
@@ -119,9 +123,8 @@
     }
 }
 
-/// Agents have IPv4 addresses only, as an owner has room for no other; the
-/// settings refuse any other.
-const fn v4(addr: SocketAddr) -> Option<SocketAddrV4> {
+/// The IPv4 address, as an [`Owner`](crate::wire::Owner) cannot hold an IPv6 one.
+const fn ipv4_addr(addr: SocketAddr) -> Option<SocketAddrV4> {
     match addr {
         SocketAddr::V4(a) => Some(a),
         SocketAddr::V6(_) => None,
--- a/src/balancer/view_updater.rs
+++ b/src/balancer/view_updater.rs
@@ -1,5 +1,5 @@
-//! Keeps a balancer's view current: after each change of the store, and when
-//! a held target's time is over.
+//! Updates a balancer's view after each change of the store, and when the hold
+//! of missing targets expires.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,97 +13,101 @@
 use crate::store::mirror::{MirrorEvent, Snapshot, Source};
 use crate::store::{self, KeyLayout};
 
-/// How often held targets are looked at.
-const HOLD_TICK: Duration = Duration::from_millis(250);
+/// How often the hold of missing targets is checked for expiry.
+const HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long targets whose announcements are missing are still believed in.
+/// How long targets are used after their registration is missing.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
-    /// Targets that went missing together.
-    pub missing: Duration,
-    /// Owners of established flows.
+pub struct HoldTimes {
+    /// For new flows, when most of a service went missing together.
+    pub targets: Duration,
+    /// For the packets of established flows.
     pub owners: Duration,
 }
 
-/// What the balancer's view is made of, kept between changes of the store.
-struct Judge {
+struct ViewUpdater {
     builder: ViewBuilder,
-    copy: Arc<Snapshot>,
+    snapshot: Arc<Snapshot>,
     view: Rc<RefCell<View>>,
     board: Board,
-    built: Instant,
-    stale: bool,
+    built_at: Instant,
+    is_stale: bool,
 }
 
-impl Judge {
-    /// Brings the view up to the copy, unless a fault keeps the balancer
-    /// blind.
-    fn catch_up(&mut self) {
-        if self.stale && !self.board.faults().blind {
-            self.stale = false;
+impl ViewUpdater {
+    /// Rebuilds the view if it is stale, unless an injected fault prevents it.
+    fn refresh(&mut self) {
+        if self.is_stale && !self.board.faults().blind {
+            self.is_stale = false;
             self.rebuild();
-            let back = self.copy.rev < self.board.copy().rev;
-            metrics::invariant(!back, "view_never_reverts", || format!("to {}", self.copy.rev));
-            self.board.set_copy(self.copy.clone());
+            let reverted = self.snapshot.rev < self.board.copy().rev;
+            metrics::invariant(!reverted, "view_never_reverts", || {
+                format!("to {}", self.snapshot.rev)
+            });
+            self.board.set_copy(self.snapshot.clone());
             self.board.set_ready(true);
         }
     }
 
     fn rebuild(&mut self) {
-        self.built = Instant::now();
-        let next = self.builder.build(&self.copy.keys, self.built);
-        let sizes: Vec<String> = next
+        self.built_at = Instant::now();
+        let view = self.builder.build(&self.snapshot.keys, self.built_at);
+        // Of each profile: targets for new flows / agents that may own flows.
+        let pool_sizes: Vec<String> = view
             .routes
             .values()
             .map(|r| format!("{}={}/{}", r.profile.name, r.pool.table.len(), r.pool.owners.len()))
             .collect();
-        log::info!("{} view: {}", events::BALANCER_VIEW, sizes.join(" "));
-        *self.view.borrow_mut() = next;
+        log::info!("{} view: {}", events::BALANCER_VIEW, pool_sizes.join(" "));
+        *self.view.borrow_mut() = view;
     }
 }
 
-/// Keeps the view current: after each change of the store, and when a held
-/// target's time is over.
-pub async fn follow(
+/// Keeps `view` up to date with the store; never returns.
+pub async fn keep_current(
     source: Source<store::Client>,
     keys: KeyLayout,
     view: Rc<RefCell<View>>,
     board: Board,
-    hold: Hold,
+    hold_times: HoldTimes,
 ) {
-    let roster = TargetRegistry::new(hold.missing, hold.owners);
-    let judge = RefCell::new(Judge {
-        builder: ViewBuilder::new(keys, roster),
-        copy: Arc::default(),
+    let registry = TargetRegistry::new(hold_times.targets, hold_times.owners);
+    let updater = RefCell::new(ViewUpdater {
+        builder: ViewBuilder::new(keys, registry),
+        snapshot: Arc::default(),
         view,
         board,
-        built: Instant::now(),
-        stale: false,
+        built_at: Instant::now(),
+        is_stale: false,
     });
     let changes = store::mirror::follow(
         &source,
         |_| None,
-        |news| match news {
-            MirrorEvent::Updated(copy) => {
-                let mut j = judge.borrow_mut();
-                j.copy = Arc::new(copy.clone());
-                j.stale = true;
-                j.catch_up();
+        |event| match event {
+            MirrorEvent::Updated(snapshot) => {
+                let mut updater = updater.borrow_mut();
+                updater.snapshot = Arc::new(snapshot.clone());
+                updater.is_stale = true;
+                updater.refresh();
             }
             MirrorEvent::StoreFailed(e) => {
-                log::warn!("{} {e:#}", events::BALANCER_STORE);
-                judge.borrow_mut().builder.registry.restart_hold(Instant::now());
+                log::warn!(
+                    "{} store call failed, keeping the last view: {e:#}",
+                    events::BALANCER_STORE
+                );
+                updater.borrow_mut().builder.registry.restart_hold(Instant::now());
             }
             MirrorEvent::Recovered => {}
         },
     );
-    let expiry = async {
+    let hold_checks = async {
         loop {
-            tokio::time::sleep(HOLD_TICK).await;
-            let mut j = judge.borrow_mut();
-            j.stale |= j.builder.registry.hold_expired(j.built, Instant::now());
-            j.catch_up();
+            tokio::time::sleep(HOLD_CHECK_INTERVAL).await;
+            let mut updater = updater.borrow_mut();
+            updater.is_stale |=
+                updater.builder.registry.hold_expired(updater.built_at, Instant::now());
+            updater.refresh();
         }
     };
-    tokio::join!(changes, expiry);
+    tokio::join!(changes, hold_checks);
 }
