--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! A packet meant for meter never reaches fieldlog: the balancer hands a
-//! packet only to agents of its profile's service, whatever owner it names.
+//! A packet of one service never reaches an agent of another, whatever owner it
+//! names.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -19,7 +19,7 @@
 
 fn view() -> View {
     let keys = KeyLayout::new("/j".into());
-    let mut copy = BTreeMap::new();
+    let mut key_map = BTreeMap::new();
     for (name, service, port) in
         [("meter", Service::Meter, 9020), ("fieldlog", Service::Fieldlog, 9021)]
     {
@@ -32,7 +32,7 @@
             policy: Policy::Hash,
         };
         let value = serde_json::to_vec(&record::Profile { spec, write_id: 1 }).unwrap();
-        copy.extend([kv(keys.profile(name), value)]);
+        key_map.extend([kv(keys.profile(name), value)]);
     }
     for (name, service, port) in
         [("meter-1", Service::Meter, 9200), ("fieldlog-1", Service::Fieldlog, 9201)]
@@ -44,9 +44,9 @@
             agent: SocketAddr::from(([127, 0, 0, 1], port)),
             stopping: false,
         };
-        copy.extend([kv(keys.target(name), serde_json::to_vec(&rec).unwrap())]);
+        key_map.extend([kv(keys.target(name), serde_json::to_vec(&rec).unwrap())]);
     }
-    View::build(&keys, &copy)
+    View::build(&keys, &key_map)
 }
 
 fn packet(port: u16, kind: PacketKind, owner: Owner) -> Packet {
@@ -63,34 +63,34 @@
     }
 }
 
-/// An offer to the one agent at this port and to nobody else.
-fn only(port: u16) -> Offer {
+/// An offer to the agent at `port` alone.
+fn only_offer(port: u16) -> Offer {
     let first = SocketAddrV4::new([127, 0, 0, 1].into(), port);
     Offer { first, second: None, stage: OfferStage::Take }
 }
 
 #[test]
-fn open_goes_to_service() {
-    let v = view();
-    let to = route_packet(&v, &packet(9020, PacketKind::Open, Owner::NONE));
-    assert_eq!(to, RouteDecision::Offer(only(9200)));
-    let to = route_packet(&v, &packet(9021, PacketKind::Open, Owner::NONE));
-    assert_eq!(to, RouteDecision::Offer(only(9201)));
+fn open_is_offered_within_service() {
+    let view = view();
+    let decision = route_packet(&view, &packet(9020, PacketKind::Open, Owner::NONE));
+    assert_eq!(decision, RouteDecision::Offer(only_offer(9200)));
+    let decision = route_packet(&view, &packet(9021, PacketKind::Open, Owner::NONE));
+    assert_eq!(decision, RouteDecision::Offer(only_offer(9201)));
 }
 
 #[test]
-fn foreign_owner_dropped() {
-    let v = view();
+fn foreign_owner_is_dropped() {
+    let view = view();
     let fieldlog = Owner::new(SocketAddrV4::new([127, 0, 0, 1].into(), 9201), 5);
-    let to = route_packet(&v, &packet(9020, PacketKind::Data, fieldlog));
-    assert_eq!(to, RouteDecision::Drop(Refusal::ForeignOwner));
+    let decision = route_packet(&view, &packet(9020, PacketKind::Data, fieldlog));
+    assert_eq!(decision, RouteDecision::Drop(Refusal::ForeignOwner));
 }
 
 #[test]
-fn unknown_port_dropped() {
-    let v = view();
+fn unknown_port_is_dropped() {
+    let view = view();
     assert_eq!(
-        route_packet(&v, &packet(1, PacketKind::Open, Owner::NONE)),
+        route_packet(&view, &packet(1, PacketKind::Open, Owner::NONE)),
         RouteDecision::Drop(Refusal::NoProfile)
     );
 }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -1,6 +1,5 @@
-//! Every course an offered open can take between two agents, played out: it
-//! ends within three passes (four decisions), at most one agent keeps it, and it is refused
-//! only when neither may take it.
+//! An offered flow ends after at most three passes between two agents (four
+//! decisions): one agent accepts it, or neither could.
 
 use std::net::SocketAddrV4;
 
@@ -11,16 +10,16 @@
 use jujubepost::metrics::Refusal;
 use jujubepost::wire::{Offer, OfferStage};
 
-/// What one agent knows of itself.
+/// An agent's own state and whether it can connect to its target.
 #[derive(Clone, Copy, Debug)]
-struct Side {
+struct Candidate {
     admits: bool,
     load: u32,
     reachable: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Course {
+enum Outcome {
     First,
     Second,
     Refused,
@@ -32,77 +31,78 @@
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
 }
 
-fn sides() -> impl Iterator<Item = Side> + Clone {
+fn candidates() -> impl Iterator<Item = Candidate> + Clone {
     LOADS.into_iter().flat_map(|load| {
         [(true, true), (true, false), (false, true)]
             .into_iter()
-            .map(move |(admits, reachable)| Side { admits, load, reachable })
+            .map(move |(admits, reachable)| Candidate { admits, load, reachable })
     })
 }
 
-fn play(first: Side, second: Option<Side>, stage: OfferStage) -> Course {
+fn run_offer(first: Candidate, second: Option<Candidate>, stage: OfferStage) -> Outcome {
     let mut offer = Offer { first: addr(1), second: second.map(|_| addr(2)), stage };
     for _ in 0..4 {
         let at_first = offer.next_agent() == addr(1);
-        let side = if at_first { first } else { second.unwrap() };
-        let mine = if side.admits { Admission::Accept } else { Admission::Refuse(Refusal::Full) };
-        let mut step = decide_offer(mine, side.load, offer);
-        if step == OfferAction::Accept && !side.reachable {
-            step = decide_unreachable(offer);
+        let candidate = if at_first { first } else { second.unwrap() };
+        let admission =
+            if candidate.admits { Admission::Accept } else { Admission::Refuse(Refusal::Full) };
+        let mut action = decide_offer(admission, candidate.load, offer);
+        if action == OfferAction::Accept && !candidate.reachable {
+            action = decide_unreachable(offer);
         }
-        match step {
-            OfferAction::Accept => return if at_first { Course::First } else { Course::Second },
-            OfferAction::PassOn(on) => {
-                assert_ne!(on.next_agent(), offer.next_agent(), "passed to itself: {offer:?}");
-                offer = on;
+        match action {
+            OfferAction::Accept => return if at_first { Outcome::First } else { Outcome::Second },
+            OfferAction::PassOn(next) => {
+                assert_ne!(next.next_agent(), offer.next_agent(), "passed on to itself: {offer:?}");
+                offer = next;
             }
-            OfferAction::Refuse(_) => return Course::Refused,
+            OfferAction::Refuse(_) => return Outcome::Refused,
         }
     }
-    panic!("no end: {first:?} {second:?} {stage:?}");
+    panic!("undecided after four decisions: {first:?} {second:?} {stage:?}");
 }
 
-const fn able(s: Side) -> bool {
-    s.admits && s.reachable
+const fn can_accept(candidate: Candidate) -> bool {
+    candidate.admits && candidate.reachable
 }
 
 #[test]
-fn taken_if_any_can() {
+fn refused_only_if_no_candidate_can_accept() {
     for stage in [OfferStage::Take, OfferStage::Ask] {
-        for (a, b) in sides().flat_map(|a| sides().map(move |b| (a, b))) {
-            let got = play(a, Some(b), stage);
-            let want_refused = !able(a) && !able(b);
-            assert_eq!(got == Course::Refused, want_refused, "{a:?} {b:?} {stage:?}");
-            let taker = if got == Course::First { a } else { b };
-            assert!(got == Course::Refused || able(taker), "{a:?} {b:?} {stage:?}");
+        for (a, b) in candidates().flat_map(|a| candidates().map(move |b| (a, b))) {
+            let outcome = run_offer(a, Some(b), stage);
+            let should_refuse = !can_accept(a) && !can_accept(b);
+            assert_eq!(outcome == Outcome::Refused, should_refuse, "{a:?} {b:?} {stage:?}");
+            let accepting = if outcome == Outcome::First { a } else { b };
+            assert!(outcome == Outcome::Refused || can_accept(accepting), "{a:?} {b:?} {stage:?}");
         }
-        for a in sides() {
-            let want = if able(a) { Course::First } else { Course::Refused };
-            assert_eq!(play(a, None, stage), want);
+        for a in candidates() {
+            let expected = if can_accept(a) { Outcome::First } else { Outcome::Refused };
+            assert_eq!(run_offer(a, None, stage), expected);
         }
     }
 }
 
 #[test]
-fn less_loaded_takes() {
-    let side = |load| Side { admits: true, load, reachable: true };
-    assert_eq!(play(side(200), Some(side(0)), OfferStage::Ask), Course::Second);
-    assert_eq!(play(side(1_000), Some(side(800)), OfferStage::Ask), Course::Second);
-    assert_eq!(play(side(800), Some(side(1_000)), OfferStage::Ask), Course::First);
-    // Within the margin of a sixteenth and an eighth of a slot, the hash decides.
-    assert_eq!(play(side(1), Some(side(0)), OfferStage::Ask), Course::First);
-    assert_eq!(play(side(128), Some(side(0)), OfferStage::Ask), Course::First);
-    assert_eq!(play(side(900), Some(side(850)), OfferStage::Ask), Course::First);
-    assert_eq!(play(side(2), Some(side(2)), OfferStage::Ask), Course::First);
-    assert_eq!(play(side(1_000), Some(side(0)), OfferStage::Take), Course::First);
+fn less_loaded_accepts() {
+    let candidate = |load| Candidate { admits: true, load, reachable: true };
+    assert_eq!(run_offer(candidate(200), Some(candidate(0)), OfferStage::Ask), Outcome::Second);
+    assert_eq!(run_offer(candidate(1_000), Some(candidate(800)), OfferStage::Ask), Outcome::Second);
+    assert_eq!(run_offer(candidate(800), Some(candidate(1_000)), OfferStage::Ask), Outcome::First);
+    // Within the margin of a sixteenth plus an eighth of a slot, the first accepts.
+    assert_eq!(run_offer(candidate(1), Some(candidate(0)), OfferStage::Ask), Outcome::First);
+    assert_eq!(run_offer(candidate(128), Some(candidate(0)), OfferStage::Ask), Outcome::First);
+    assert_eq!(run_offer(candidate(900), Some(candidate(850)), OfferStage::Ask), Outcome::First);
+    assert_eq!(run_offer(candidate(2), Some(candidate(2)), OfferStage::Ask), Outcome::First);
+    assert_eq!(run_offer(candidate(1_000), Some(candidate(0)), OfferStage::Take), Outcome::First);
 }
 
 #[test]
-fn limit_is_exact() {
+fn limits_are_exact() {
     assert_eq!(slot_load(2_000, 0, 5, 2_000), 5 * 1_024, "all connections weigh as all slots");
     assert_eq!(slot_load(0, 4, 5, 2_000), 4 * 1_024);
     assert_eq!(slot_load(0, 5, 5, 2_000), UNAVAILABLE_LOAD - 1, "no slot is free");
-    let none = std::time::Duration::ZERO;
-    assert_eq!(admit(None, none, false, 9, 10), Admission::Accept);
-    assert_eq!(admit(None, none, false, 10, 10), Admission::Refuse(Refusal::Full));
+    let no_grace = std::time::Duration::ZERO;
+    assert_eq!(admit(None, no_grace, false, 9, 10), Admission::Accept);
+    assert_eq!(admit(None, no_grace, false, 10, 10), Admission::Refuse(Refusal::Full));
 }
