--- a/src/agent/placement.rs
+++ b/src/agent/placement.rs
@@ -87,8 +87,8 @@
 }
 
 /// Whether `load` is below `other` by more than a sixteenth of `load` plus an
-/// eighth of a slot. The margin keeps small differences from sending most new
-/// flows to the same agents.
+/// eighth of a slot; always, if the other agent may not accept flows. The margin
+/// keeps small differences from sending most new flows to the same agents.
 const fn is_clearly_lower(load: u32, other: u32) -> bool {
     other == UNAVAILABLE_LOAD
         || load.saturating_add(load / 16).saturating_add(LOAD_PER_SLOT / 8) < other
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -39,8 +39,8 @@
 }
 
 impl View {
-    /// Builds a view from the store's keys alone: only targets registered in
-    /// `key_map` are used, and none is held.
+    /// Builds a view without history: uses exactly the targets registered in
+    /// `key_map`.
     #[must_use]
     pub fn build(keys: &KeyLayout, key_map: &KeyMap) -> Self {
         let mut builder = ViewBuilder::new(keys.clone(), super::TargetRegistry::default());
