--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -41,7 +41,7 @@
     Response {
         /// One answer per flow asked for.
         answers: Vec<Answer>,
-        /// Load of the agent, as [`crate::agent::place::load`].
+        /// Load of the agent, as [`crate::agent::placement::backlog_load`].
         load: u32,
     },
     /// Names the agent whose target holds a flow. Sent by a balancer to the flow's
@@ -61,7 +61,7 @@
     Pong {
         /// Service of the agent's target.
         service: &'a str,
-        /// Load of the agent, as [`crate::agent::place::load`].
+        /// Load of the agent, as [`crate::agent::placement::backlog_load`].
         load: u32,
     },
     /// Sent after a [`Message::Pong`] by an agent whose target has no running
@@ -148,7 +148,7 @@
     pub flow: Flow,
     /// Its status.
     pub status: FlowStatus,
-    /// Load of the agent, as [`crate::agent::place::load`].
+    /// Load of the agent, as [`crate::agent::placement::backlog_load`].
     pub load: u32,
 }
 
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -2,7 +2,7 @@
 //! and reads no clock; packets to send go out through [`Transmit`].
 //!
 //! - An open (a caller's SYN) is offered to two agents of the route's service, which
-//!   choose between them by load ([`crate::agent::place()`]). If they do not answer in
+//!   choose between them by load ([`crate::agent::decide_offer`]). If they do not answer in
 //!   time, the next two are tried.
 //! - For a flow that another balancer opened, agents are queried in waves until one
 //!   answers that its target holds the flow; its packets are buffered meanwhile.
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Transmit;
-use crate::agent::place::UNABLE;
+use crate::agent::placement::UNAVAILABLE_LOAD;
 use crate::flow::Flow;
 use crate::policy::SuspicionPolicy;
 use crate::protocol::{FlowStatus, Message};
@@ -79,7 +79,8 @@
     /// Whether it answers and did not report within `unable_ttl` that it can take no
     /// flow.
     fn accepts_flows(&self, unable_ttl: Duration, now: Instant) -> bool {
-        let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable_ttl;
+        let unable =
+            self.load == UNAVAILABLE_LOAD && now.duration_since(self.last_heard) < unable_ttl;
         self.silent_since.is_none() && !unable
     }
 }
@@ -234,7 +235,7 @@
                 "agent": addr.to_string(),
                 "service": a.service,
                 "zone": a.zone,
-                "load": if a.load == UNABLE { None } else { Some(a.load) },
+                "load": if a.load == UNAVAILABLE_LOAD { None } else { Some(a.load) },
                 "heard_ms": age(a.last_heard),
                 "silent_ms": a.silent_since.map(age),
                 "unlisted_ms": a.unlisted_since.map(age),
@@ -288,7 +289,7 @@
             a.silent_since = None;
             a.ping_pending = false;
             // An agent that can take flows has a running target.
-            a.target_ended &= load == UNABLE;
+            a.target_ended &= load == UNAVAILABLE_LOAD;
         }
     }
 
--- a/src/tracker/load.rs
+++ b/src/tracker/load.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::agent::place::SLOT;
+use crate::agent::placement::LOAD_PER_SLOT;
 
 /// Time constant of the mean. Longer values average over more requests of a flow,
 /// shorter ones follow changes in demand sooner.
@@ -49,12 +49,12 @@
     }
 
     /// Load that one open flow counts for, in units of
-    /// [`crate::agent::place::load`].
+    /// [`crate::agent::placement::backlog_load`].
     #[must_use]
     pub fn per_flow(&self) -> u32 {
         let mean =
             if self.flow_secs > 0.0 { self.waiting_secs / self.flow_secs } else { INITIAL_MEAN };
         // The upper bound is one slot, so the cast does not overflow.
-        (mean.clamp(MEAN_RANGE.0, MEAN_RANGE.1) * f64::from(SLOT)) as u32
+        (mean.clamp(MEAN_RANGE.0, MEAN_RANGE.1) * f64::from(LOAD_PER_SLOT)) as u32
     }
 }
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use super::{FlowPhase, FlowTracker, NO_REPLY, TrackedFlow, Transmit, pass_on, reset_flow};
-use crate::agent::Step;
-use crate::agent::place::give_back;
+use crate::agent::OfferAction;
+use crate::agent::placement::decide_unreachable;
 use crate::events;
 use crate::flow::{Flow, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal, Retry};
@@ -181,12 +181,12 @@
         metrics::retried(Retry::Bounced);
         self.full_until = Some(now + self.policy.full_pause);
         self.schedule_probe(Duration::ZERO, now);
-        match give_back(offer) {
-            Step::Pass(offer) => {
+        match decide_unreachable(offer) {
+            OfferAction::PassOn(offer) => {
                 self.record_hint(flow, offer, now);
                 pass_on(&open, offer, packet, out);
             }
-            Step::Take | Step::Refuse(_) => {
+            OfferAction::Accept | OfferAction::Refuse(_) => {
                 self.refuse_flow(flow, Refusal::Full, reply_to, now, out)
             }
         }
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::agent::place::UNABLE;
+use jujubepost::agent::placement::UNAVAILABLE_LOAD;
 use jujubepost::metrics::Refusal;
 use jujubepost::protocol::{FlowStatus, ForwardMode, Message, Query, Question};
 use jujubepost::tracker::{FlowTracker, Incarnation, Report, TargetState};
@@ -475,7 +475,7 @@
     );
     assert!(tracker.is_drained());
     tracker.handle_message(balancer(), &Message::Ping { listed: true }, None, &[], now, &mut w);
-    assert!(w.peers.contains(&(balancer(), Sent::Pong { load: UNABLE }, vec![])));
+    assert!(w.peers.contains(&(balancer(), Sent::Pong { load: UNAVAILABLE_LOAD }, vec![])));
 }
 
 #[test]
@@ -528,7 +528,7 @@
     };
     assert!(!ping(&mut tracker).contains(&Sent::Ended));
     tracker.mark_target_ended(&mut Wires::default());
-    assert_eq!(ping(&mut tracker), [Sent::Pong { load: UNABLE }, Sent::Ended]);
+    assert_eq!(ping(&mut tracker), [Sent::Pong { load: UNAVAILABLE_LOAD }, Sent::Ended]);
 }
 
 /// If balancers were told that a target ended, its next incarnation accepts flows only
