--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -106,7 +106,7 @@
     for (port, p) in (1..=FLOWS).zip(packets) {
         s.handle_packet(&packet::decode(p).unwrap(), p, now, &mut out);
         let note = FlowUpdate { flow: flow(port), status: FlowStatus::Held, load: 0 };
-        s.handle_note(addr(1), note, now, &mut out);
+        s.handle_flow_update(addr(1), note, now, &mut out);
     }
     s
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -97,7 +97,7 @@
 
 /// Most flows in one [`Query`]: the response, which is longer than the query, fits
 /// in 1,236 bytes and is not fragmented.
-pub const MAX_QUESTIONS: usize = 40;
+pub const MAX_QUERY_FLOWS: usize = 40;
 
 /// Asks which flows a target holds. Caller data is left out, as most of the agents
 /// queried do not hold the flow.
@@ -105,13 +105,14 @@
 pub struct Query<'a> {
     /// Service that the flows' route names.
     pub service: &'a str,
-    /// The flows, at most [`MAX_QUESTIONS`].
-    pub questions: Vec<Question>,
+    /// The flows, at most [`MAX_QUERY_FLOWS`].
+    #[serde(rename = "questions")]
+    pub flows: Vec<QueriedFlow>,
 }
 
 /// One flow in a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct QueriedFlow {
     /// The flow.
     pub flow: Flow,
     /// Acknowledgement number of the caller's last packet. If two targets answered
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -85,7 +85,7 @@
     fn query_wave(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
-            self.queries.enqueue(*agent, &search.service, search.question(flow));
+            self.queries.enqueue(*agent, &search.service, search.queried_flow(flow));
         }
         // Fits: a service has far fewer agents.
         search.message_count += wave.len() as u32;
@@ -123,8 +123,8 @@
             s.unqueried.retain(|a| *a != hint);
             s.pending.push(hint);
             s.message_count += 1;
-            let (service, question) = (s.service.clone(), s.question(answer.flow));
-            self.queries.enqueue(hint, &service, question);
+            let (service, queried) = (s.service.clone(), s.queried_flow(answer.flow));
+            self.queries.enqueue(hint, &service, queried);
             if let Some(FlowState::Searching(mut s)) = self.flows.remove(answer.flow) {
                 self.start_wave_timer(answer.flow, &mut s, now);
                 self.flows.insert(answer.flow, FlowState::Searching(s), now);
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -183,7 +183,7 @@
         out: &mut impl Transmit,
     ) {
         match message {
-            Message::FlowUpdate(note) => self.handle_note(from, *note, now, out),
+            Message::FlowUpdate(update) => self.handle_flow_update(from, *update, now, out),
             Message::Response { answers, load } => {
                 self.handle_answers(from, answers, *load, now, out)
             }
@@ -194,23 +194,23 @@
     }
 
     /// Handles an agent's notification about a flow.
-    pub fn handle_note(
+    pub fn handle_flow_update(
         &mut self,
         from: SocketAddrV4,
-        note: FlowUpdate,
+        update: FlowUpdate,
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        self.roster.record_contact(from, note.load, now);
-        self.roster.record_status(from, note.status);
-        match note.status {
-            FlowStatus::Held => self.record_owner(from, note.flow, now, out),
-            FlowStatus::Refused(reason) => self.handle_refusal(from, note.flow, reason, now, out),
+        self.roster.record_contact(from, update.load, now);
+        self.roster.record_status(from, update.status);
+        match update.status {
+            FlowStatus::Held => self.record_owner(from, update.flow, now, out),
+            FlowStatus::Refused(reason) => self.handle_refusal(from, update.flow, reason, now, out),
             FlowStatus::Unknown
             | FlowStatus::TargetEnded
             | FlowStatus::Unverified
             | FlowStatus::NotOwner => {
-                self.handle_denial(from, note.flow, note.status, now, out);
+                self.handle_denial(from, update.flow, update.status, now, out);
             }
         }
     }
--- a/src/steering/queries.rs
+++ b/src/steering/queries.rs
@@ -8,14 +8,14 @@
 
 use super::Transmit;
 use crate::flow::Flow;
-use crate::protocol::{MAX_QUESTIONS, Message, Query, Question};
+use crate::protocol::{MAX_QUERY_FLOWS, Message, QueriedFlow, Query};
 use crate::token_bucket::TokenBucket;
 
 /// Queued queries to one agent.
 #[derive(Debug, Default)]
 struct AgentQueries {
     service: Arc<str>,
-    questions: VecDeque<Question>,
+    flows: VecDeque<QueriedFlow>,
 }
 
 /// Owner queries that are not sent yet.
@@ -42,14 +42,14 @@
     }
 
     /// Queues a query to `agent`, whose target runs `service`, unless it is queued.
-    pub fn enqueue(&mut self, agent: SocketAddrV4, service: &Arc<str>, question: Question) {
+    pub fn enqueue(&mut self, agent: SocketAddrV4, service: &Arc<str>, queried: QueriedFlow) {
         let queue = self.queues.entry(agent).or_default();
-        if queue.questions.is_empty() {
+        if queue.flows.is_empty() {
             queue.service = service.clone();
             self.round_robin.push_back(agent);
         }
-        if !queue.questions.iter().any(|q| q.flow == question.flow) {
-            queue.questions.push_back(question);
+        if !queue.flows.iter().any(|q| q.flow == queried.flow) {
+            queue.flows.push_back(queried);
         }
     }
 
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn is_queued(&self, agent: SocketAddrV4, flow: Flow) -> bool {
         let queue = self.queues.get(&agent);
-        queue.is_some_and(|q| q.questions.iter().any(|x| x.flow == flow))
+        queue.is_some_and(|q| q.flows.iter().any(|x| x.flow == flow))
     }
 
     /// Sends queued queries as far as the rate limit allows.
@@ -69,14 +69,14 @@
             }
             self.round_robin.pop_front();
             let Some(queue) = self.queues.get_mut(&agent) else { continue };
-            let count = queue.questions.len().min(MAX_QUESTIONS);
-            let questions = queue.questions.drain(..count).collect();
+            let count = queue.flows.len().min(MAX_QUERY_FLOWS);
+            let flows = queue.flows.drain(..count).collect();
             out.send_to_agent(
                 agent,
-                &Message::Query(Query { service: &queue.service, questions }),
+                &Message::Query(Query { service: &queue.service, flows }),
                 &[],
             );
-            if queue.questions.is_empty() {
+            if queue.flows.is_empty() {
                 self.queues.remove(&agent);
             } else {
                 self.round_robin.push_back(agent);
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -10,7 +10,7 @@
 use crate::flow::{Flow, Segment};
 use crate::metrics;
 use crate::policy::BalancerPolicy;
-use crate::protocol::{FlowStatus, ForwardMode, Message, Question};
+use crate::protocol::{FlowStatus, ForwardMode, Message, QueriedFlow};
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
@@ -92,8 +92,8 @@
         self.unqueried.drain(..size.min(self.unqueried.len())).collect()
     }
 
-    pub(super) const fn question(&self, flow: Flow) -> Question {
-        Question { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
+    pub(super) const fn queried_flow(&self, flow: Flow) -> QueriedFlow {
+        QueriedFlow { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
     }
 
     /// Size of the buffered packets.
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -5,7 +5,7 @@
 
 use super::{FlowPhase, FlowTracker, Target, Transmit};
 use crate::metrics::{self, Refusal};
-use crate::protocol::{Answer, FlowStatus, Message, Query, Question};
+use crate::protocol::{Answer, FlowStatus, Message, QueriedFlow, Query};
 
 impl FlowTracker {
     /// Answers a balancer's query. No flow is created: the balancer forwards the
@@ -21,21 +21,21 @@
             metrics::refused(Refusal::ForeignOwner);
             return;
         }
-        let mut answers = Vec::with_capacity(query.questions.len());
-        for question in &query.questions {
-            let status = self.flow_status(question, now);
-            let hint = self.hints.get(question.flow, now).copied();
-            answers.push(Answer { flow: question.flow, status, hint });
+        let mut answers = Vec::with_capacity(query.flows.len());
+        for queried in &query.flows {
+            let status = self.flow_status(queried, now);
+            let hint = self.hints.get(queried.flow, now).copied();
+            answers.push(Answer { flow: queried.flow, status, hint });
         }
         let load = self.load(now);
         out.send_message(from, &Message::Response { answers, load }, &[]);
     }
 
-    fn flow_status(&mut self, question: &Question, now: Instant) -> FlowStatus {
-        if let Some(tracked) = self.flows.get(question.flow, now) {
+    fn flow_status(&mut self, queried: &QueriedFlow, now: Instant) -> FlowStatus {
+        if let Some(tracked) = self.flows.get(queried.flow, now) {
             return match tracked.phase {
                 FlowPhase::Trial => FlowStatus::Unverified,
-                _ if tracked.matches_ack(question.ack) => FlowStatus::Held,
+                _ if tracked.matches_ack(queried.ack) => FlowStatus::Held,
                 FlowPhase::NotOwner => FlowStatus::NotOwner,
                 _ => FlowStatus::Unknown,
             };
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -116,7 +116,7 @@
     };
     let hint = Some(flow.caller);
     let answers =
-        vec![Answer { flow, status: FlowStatus::Unverified, hint }; protocol::MAX_QUESTIONS];
+        vec![Answer { flow, status: FlowStatus::Unverified, hint }; protocol::MAX_QUERY_FLOWS];
     let message = Message::Response { answers, load: u32::MAX };
     protocol::encode(&message, &[], &mut buf).unwrap();
     assert!(buf.len() <= 1_236, "{} bytes: longer than a packet", buf.len());
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -10,7 +10,7 @@
 use jujubepost::flow::{Flags, Flow, Segment};
 use jujubepost::policy::BalancerPolicy;
 use jujubepost::protocol::{
-    Answer, FlowStatus, FlowUpdate, ForwardMode, Message, Open, Query, Question,
+    Answer, FlowStatus, FlowUpdate, ForwardMode, Message, Open, QueriedFlow, Query,
 };
 use jujubepost::steering::{self, FlowSteering, ListedAgent, Route, Routes, WeightedService};
 use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
@@ -43,7 +43,7 @@
             Message::Forward { service, mode } => Self::Carry { service: service.into(), mode },
             Message::FlowUpdate(n) => Self::Note(n),
             Message::Query(ref ask) => {
-                Self::Ask { flows: ask.questions.iter().map(|q| q.flow).collect() }
+                Self::Ask { flows: ask.flows.iter().map(|q| q.flow).collect() }
             }
             Message::Response { ref answers, .. } => Self::Answers { answers: answers.clone() },
             Message::Hint { flow, agent } => Self::Hint { flow, agent },
@@ -65,8 +65,8 @@
             Self::Carry { service, mode } => Message::Forward { service, mode: *mode },
             Self::Note(n) => Message::FlowUpdate(*n),
             Self::Ask { flows } => {
-                let questions = flows.iter().map(|f| Question { flow: *f, ack: None }).collect();
-                Message::Query(Query { service: SERVICE, questions })
+                let questions = flows.iter().map(|f| QueriedFlow { flow: *f, ack: None }).collect();
+                Message::Query(Query { service: SERVICE, flows: questions })
             }
             Self::Answers { answers } => Message::Response { answers: answers.clone(), load: 0 },
             Self::Hint { flow, agent } => Message::Hint { flow: *flow, agent: *agent },
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::wires::*;
-use jujubepost::protocol::{FlowStatus, Message, Open, Query, Question};
+use jujubepost::protocol::{FlowStatus, Message, Open, QueriedFlow, Query};
 use jujubepost::tracker::{FlowTracker, TargetState};
 use jujubepost::wire::{Offer, OfferStage};
 
@@ -70,8 +70,8 @@
         assert_eq!(*to, agent(1));
         send(&mut next, &m.message(), now);
     }
-    let question = Question { flow: flow(1), ack: Some(5_001) };
-    let ask = Message::Query(Query { service: SERVICE, questions: vec![question] });
+    let question = QueriedFlow { flow: flow(1), ack: Some(5_001) };
+    let ask = Message::Query(Query { service: SERVICE, flows: vec![question] });
     let answers = send(&mut next, &ask, now).answers();
     assert_eq!((answers[0].status, answers[0].hint), (FlowStatus::Unverified, Some(agent(1))));
     // No hint is sent to the agent itself, or for flows of an ended target.
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -8,7 +8,7 @@
 use common::wires::*;
 use jujubepost::agent::place::UNABLE;
 use jujubepost::metrics::Refusal;
-use jujubepost::protocol::{FlowStatus, ForwardMode, Message, Query, Question};
+use jujubepost::protocol::{FlowStatus, ForwardMode, Message, QueriedFlow, Query};
 use jujubepost::tracker::{FlowTracker, Incarnation, Report, TargetState};
 
 const MS: Duration = Duration::from_millis(1);
@@ -36,8 +36,8 @@
 /// Queries flow `port`, whose caller acknowledged `ack`.
 fn query(tracker: &mut FlowTracker, port: u16, ack: u32, now: Instant) -> Wires {
     let mut w = Wires::default();
-    let question = Question { flow: flow(port), ack: Some(ack) };
-    let m = Message::Query(Query { service: SERVICE, questions: vec![question] });
+    let question = QueriedFlow { flow: flow(port), ack: Some(ack) };
+    let m = Message::Query(Query { service: SERVICE, flows: vec![question] });
     tracker.handle_message(balancer(), &m, None, &[], now, &mut w);
     w
 }
@@ -79,7 +79,7 @@
     assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
     let m = Message::Forward { service: "fieldlog", mode: ForwardMode::Try };
     tracker.handle_message(balancer(), &m, Some(&data(1, 1, 1, 1)), b"data", now, &mut w);
-    let m = Message::Query(Query { service: "fieldlog", questions: Vec::new() });
+    let m = Message::Query(Query { service: "fieldlog", flows: Vec::new() });
     tracker.handle_message(balancer(), &m, None, &[], now, &mut w);
     assert!(w.answers().is_empty(), "a query for another service gets no response");
     assert!(w.target.is_empty(), "packets of another service do not reach the target");
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -8,7 +8,7 @@
 
 use common::wires::*;
 use jujubepost::policy::BalancerPolicy;
-use jujubepost::protocol::{Answer, FlowStatus, ForwardMode, MAX_QUESTIONS};
+use jujubepost::protocol::{Answer, FlowStatus, ForwardMode, MAX_QUERY_FLOWS};
 use jujubepost::steering::FlowSteering;
 
 const MS: Duration = Duration::from_millis(1);
@@ -130,7 +130,7 @@
         Sent::Ask { flows } => flows.len(),
         _ => 0,
     });
-    assert!(sizes.clone().all(|n| n <= MAX_QUESTIONS) && sizes.sum::<usize>() > 300);
+    assert!(sizes.clone().all(|n| n <= MAX_QUERY_FLOWS) && sizes.sum::<usize>() > 300);
     assert!(s.next_deadline(now).unwrap() <= now + 10 * MS);
     assert!(tick(&mut s, now + MS).asked().is_empty());
     assert_eq!(tick(&mut s, now + 100 * MS).asked().len(), 10);
@@ -182,7 +182,7 @@
     let mut w = Wires::default();
     let held =
         jujubepost::protocol::FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
-    s.handle_note(taker, held, now + 43 * MS, &mut w);
+    s.handle_flow_update(taker, held, now + 43 * MS, &mut w);
     let hint = Sent::Hint { flow: flow(1), agent: taker };
     assert_eq!(w.peers, [(home, hint, vec![])], "offered {offer:?}");
 }
--- a/tests/steer.rs
+++ b/tests/steer.rs
@@ -23,7 +23,7 @@
 ) -> Wires {
     let mut w = Wires::default();
     let load = if matches!(status, FlowStatus::Refused(_)) { UNABLE } else { 0 };
-    s.handle_note(from, FlowUpdate { flow: flow(port), status, load }, now, &mut w);
+    s.handle_flow_update(from, FlowUpdate { flow: flow(port), status, load }, now, &mut w);
     s.tick(now, &mut w);
     w
 }
