--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -30,7 +30,7 @@
         addr: std::net::SocketAddrV4::new(ip, 7_720),
         zone: format!("zone-{}", n % 9).into(),
         service: format!("service-{}", n % routes).into(),
-        target: Some(format!("i-{n:08x}-{rev}").as_str().into()),
+        incarnation: Some(format!("i-{n:08x}-{rev}").as_str().into()),
     };
     let value = serde_json::to_vec(&entry).unwrap();
     Kv { key: format!("jujubepost/agents/{ip}").into(), value, rev, lease: 1 }
--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -88,9 +88,12 @@
 fn steer_with_flows(packets: &[Vec<u8>]) -> FlowSteering {
     let now = Instant::now();
     let mut s = FlowSteering::new(addr(200), "a".into(), Duration::from_secs(60));
-    let share = WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 };
-    let route =
-        Route { name: "r".into(), services: vec![share], request_timeout: Duration::from_secs(3) };
+    let weighted = WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 };
+    let route = Route {
+        name: "r".into(),
+        services: vec![weighted],
+        request_timeout: Duration::from_secs(3),
+    };
     let idle = Duration::from_secs(15);
     s.apply_routes(Routes { version: 1, by_address: [(vip(), route)].into(), idle_timeout: idle });
     let agents: Vec<ListedAgent> = (1..=10)
@@ -98,7 +101,7 @@
             addr: addr(n),
             zone: "a".into(),
             service: "meter".into(),
-            target: None,
+            incarnation: None,
         })
         .collect();
     s.roster.update(&agents, now);
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -45,7 +45,7 @@
 
 struct Sockets {
     packets: Socket,
-    bus: Socket,
+    messages: Socket,
 }
 
 /// Sends through `sockets`; `buf` is reused to encode messages.
@@ -57,7 +57,7 @@
 
 impl steering::Transmit for PacketSender<'_> {
     fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.sockets.bus.send_message(to, message, packet, self.buf);
+        self.sockets.messages.send_message(to, message, packet, self.buf);
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
@@ -76,39 +76,41 @@
     let settings = Settings::load(path)?;
     let sockets = Sockets {
         packets: Socket::bind(settings.packets, "packets of callers").await?,
-        bus: Socket::bind(settings.bus_addr(), "messages of agents").await?,
+        messages: Socket::bind(settings.message_addr(), "messages of agents").await?,
     };
     let board = Board::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
-    let admin_server = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
+    let admin_server = admin::Server::start(settings.message_addr().into(), board.clone()).await?;
     let ready_server = match settings.ready {
         Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
         None => None,
     };
-    let steer =
-        FlowSteering::new(settings.bus_addr(), settings.zone.clone(), settings.flow_lifetime())
-            .with_policy(settings.steering());
-    let steer = Rc::new(RefCell::new(steer));
-    let inspect_server = inspect::serve(&settings, steer.clone()).await?;
+    let steering =
+        FlowSteering::new(settings.message_addr(), settings.zone.clone(), settings.flow_lifetime())
+            .with_policy(settings.balancer_policy());
+    let steering = Rc::new(RefCell::new(steering));
+    let inspect_server = inspect::serve(&settings, steering.clone()).await?;
     log::info!(
         event = events::EDGE_START, name:% = settings.name, zone:% = settings.zone,
         ip:% = settings.ip;
         "balancer started"
     );
     let refresh = Arc::new(Notify::new());
-    let follower = follow_store(&settings, &steer, &board, refresh.clone()).await?;
+    let follower = follow_store(&settings, &steering, &board, refresh.clone()).await?;
     let caller_port = settings.packets.port();
-    super::run_until_stopped(path, forward(&sockets, &steer, caller_port, &board, &refresh))
+    super::run_until_stopped(path, forward(&sockets, &steering, caller_port, &board, &refresh))
         .await?;
     log::info!(
-        event = events::EDGE_STOP, name:% = settings.name, flows = steer.borrow().flow_count();
+        event = events::EDGE_STOP, name:% = settings.name, flows = steering.borrow().flow_count();
         "balancer is stopping"
     );
-    steer.borrow_mut().begin_shutdown();
+    steering.borrow_mut().begin_shutdown();
     board.set_ready(false);
     let stop_delay = STOP_DELAY.min(settings.stop_grace() / 2);
-    let _ =
-        tokio::time::timeout(stop_delay, forward(&sockets, &steer, caller_port, &board, &refresh))
-            .await;
+    let _ = tokio::time::timeout(
+        stop_delay,
+        forward(&sockets, &steering, caller_port, &board, &refresh),
+    )
+    .await;
     follower.abort();
     let _ = follower.await;
     admin_server.stop().await;
@@ -116,10 +118,10 @@
     Ok(())
 }
 
-/// Starts the task that applies the store's changes to `steer` and runs the relay.
+/// Starts the task that applies the store's changes to `steering` and runs the relay.
 async fn follow_store(
     settings: &Settings,
-    steer: &Rc<RefCell<FlowSteering>>,
+    steering: &Rc<RefCell<FlowSteering>>,
     board: &Board,
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
@@ -138,31 +140,31 @@
         settings.relay_min_bytes(),
     );
     let (snapshots, latest) = watch::channel(None);
-    let relaying = relay::run(source.store.clone(), relay.clone(), steer.clone(), latest);
-    let (steer, board) = (steer.clone(), board.clone());
+    let relaying = relay::run(source.store.clone(), relay.clone(), steering.clone(), latest);
+    let (steering, board) = (steering.clone(), board.clone());
     Ok(tokio::task::spawn_local(async move {
         let mut lost = false;
         let mut reader = SnapshotReader::default();
         let narrow_prefix = |snapshot: &Snapshot| {
-            let prefix = relay.narrow_prefix(snapshot, steer.borrow().config_version());
+            let prefix = relay.narrow_prefix(snapshot, steering.borrow().config_version());
             metrics::state("follows_parts", prefix.is_some().into());
             prefix
         };
-        let follow = mirror::follow(&source, narrow_prefix, |news| match news {
+        let follow = mirror::follow(&source, narrow_prefix, |event| match event {
             MirrorEvent::Updated(snapshot) => {
-                reader.apply_snapshot(&mut steer.borrow_mut(), snapshot);
-                board.set_ready(steer.borrow().is_ready());
+                reader.apply_snapshot(&mut steering.borrow_mut(), snapshot);
+                board.set_ready(steering.borrow().is_ready());
                 let snapshot = Arc::new(snapshot.clone());
                 board.set_copy(snapshot.clone());
                 snapshots.send_replace(Some(snapshot));
             }
             MirrorEvent::Recovered => {
-                steer.borrow_mut().set_store_reachable(true, Instant::now());
+                steering.borrow_mut().set_store_reachable(true, Instant::now());
                 log::info!(event = events::EDGE_STORE, after_loss = lost; "store is reachable");
                 lost = false;
             }
             MirrorEvent::StoreFailed(e) if !lost => {
-                steer.borrow_mut().set_store_reachable(false, Instant::now());
+                steering.borrow_mut().set_store_reachable(false, Instant::now());
                 log::warn!(
                     event = events::EDGE_STORE, error:% = format!("{e:#}");
                     "store call failed; keeping the last snapshot and retrying"
@@ -177,7 +179,7 @@
 }
 
 impl Inspect for FlowSteering {
-    fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value {
+    fn current_state(&self, flow: Option<Flow>) -> serde_json::Value {
         Self::state_json(self, flow, Instant::now())
     }
 
@@ -203,7 +205,7 @@
 /// Forwards packets until the future is dropped.
 async fn forward(
     sockets: &Sockets,
-    steer: &RefCell<FlowSteering>,
+    steering: &RefCell<FlowSteering>,
     caller_port: u16,
     board: &Board,
     refresh: &Notify,
@@ -212,35 +214,37 @@
     let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
     loop {
         let before = Instant::now();
-        let due = steer.borrow().next_deadline(before);
+        let due = steering.borrow().next_deadline(before);
         let wait = due.map_or(MAX_SLEEP, |at| at.saturating_duration_since(before));
         tokio::select! {
             () = sockets.packets.readable() => {}
-            () = sockets.bus.readable() => {}
+            () = sockets.messages.readable() => {}
             () = tokio::time::sleep(wait) => {}
         }
-        let mut steer = steer.borrow_mut();
+        let mut steering = steering.borrow_mut();
         let mut out = PacketSender { sockets, caller_port, buf: &mut scratch };
         let now = Instant::now();
         if let Some(paused) = pause::detect(before + wait, now) {
-            steer.resume(paused);
+            steering.resume(paused);
             refresh.notify_one();
         }
         // Read agents' answers before callers' packets, so that no packet
         // overtakes the answer about its flow, and run timers only once all
         // answers are read, so that queued answers do not count as missing.
         let all_read =
-            sockets.bus.read_batch(&mut buf, |datagram, from| match protocol::decode(datagram) {
-                Ok((message, _)) => steer.handle_message(from, &message, now, &mut out),
-                Err(e) => metrics::dropped(e),
+            sockets.messages.read_batch(&mut buf, |datagram, from| {
+                match protocol::decode(datagram) {
+                    Ok((message, _)) => steering.handle_message(from, &message, now, &mut out),
+                    Err(e) => metrics::dropped(e),
+                }
             });
         sockets.packets.read_batch(&mut buf, |datagram, _| match packet::decode(datagram) {
-            Ok(seg) => steer.handle_packet(&seg, datagram, now, &mut out),
+            Ok(seg) => steering.handle_packet(&seg, datagram, now, &mut out),
             Err(e) => metrics::dropped(e),
         });
         if all_read {
-            steer.tick(now, &mut out);
+            steering.tick(now, &mut out);
         }
-        board.set_ready(steer.is_ready());
+        board.set_ready(steering.is_ready());
     }
 }
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -16,7 +16,7 @@
 /// A process whose state can be inspected.
 pub trait Inspect {
     /// Returns the state as JSON, with that of `flow` if given.
-    fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value;
+    fn current_state(&self, flow: Option<Flow>) -> serde_json::Value;
 
     /// Updates the gauges of the state.
     fn publish_gauges(&self);
@@ -39,7 +39,7 @@
             Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::text() }
         }
         "/beliefs" => match parse_flow(&request.query) {
-            Ok(flow) => Answer::json(process.borrow().beliefs(flow).to_string()),
+            Ok(flow) => Answer::json(process.borrow().current_state(flow).to_string()),
             Err(e) => Answer {
                 status: StatusCode::BAD_REQUEST,
                 kind: "text/plain",
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -14,12 +14,13 @@
 mod snapshot;
 mod socket;
 
+pub use settings::{Settings, TimeLimits};
+pub use snapshot::SnapshotReader;
+
 use std::path::Path;
 use std::time::Duration;
 
 use anyhow::Context;
-pub use settings::{Settings, TimeLimits};
-pub use snapshot::SnapshotReader;
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::listen::Server;
--- a/src/edge/pause.rs
+++ b/src/edge/pause.rs
@@ -1,5 +1,5 @@
 //! Detects pauses of the process, such as a suspended VM or CPU starvation. After
-//! a pause, its state is as old as the pause until it has caught up.
+//! a pause, its state is outdated until it has read what arrived meanwhile.
 
 use std::time::{Duration, Instant};
 
--- a/src/edge/port.rs
+++ b/src/edge/port.rs
@@ -16,7 +16,7 @@
 pub(super) enum PortState {
     Open,
     Closed,
-    /// The attempt timed out or failed, which proves nothing.
+    /// The attempt timed out or failed, so the process may run or not.
     Silent,
 }
 
@@ -36,9 +36,9 @@
     }
 }
 
-/// Applies the result of a probe to `holder`.
-pub(super) fn apply_state(
-    holder: &mut FlowTracker,
+/// Applies the result of a probe to `tracker`.
+pub(super) fn apply_probe(
+    tracker: &mut FlowTracker,
     state: PortState,
     target: SocketAddrV4,
     now: Instant,
@@ -48,18 +48,18 @@
         PortState::Closed => {
             log::warn!(
                 event = events::EDGE_TARGET, target:% = target, state = "crashed",
-                flows = holder.flow_count();
+                flows = tracker.flow_count();
                 "target's port is closed; its process has ended"
             );
-            holder.mark_target_ended(out);
+            tracker.mark_target_ended(out);
         }
         PortState::Open | PortState::Silent => {
             log::info!(
                 event = events::EDGE_TARGET, target:% = target, state = "silent",
-                port:? = state, waiting = holder.waiting_count();
+                port:? = state, waiting = tracker.waiting_count();
                 "target does not respond, but its process may still run"
             );
-            holder.defer_probe(now);
+            tracker.defer_probe(now);
         }
     }
 }
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -22,9 +22,9 @@
 /// callers waiting for longer while the store is unreachable.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Holds the registration forever, from the target's first report on. An agent
-/// that registers without a target and disappears would delay the searches for
-/// flows of its service.
+/// Keeps the registration in the store until dropped, from the target's first report
+/// on. An agent that registers without a target and disappears would delay the
+/// searches for flows of its service.
 pub(super) async fn hold_registration(
     store: platform::kv::Client,
     key: String,
@@ -73,10 +73,10 @@
 }
 
 impl Registration {
-    /// Stores the target's current start, so that a restarted agent knows which
-    /// start its predecessor served.
-    pub(super) fn set_target_start(&self, start: Incarnation) {
-        let record = ListedAgent { target: Some(start), ..self.record.clone() };
+    /// Stores the target's current incarnation, so that a restarted agent knows which
+    /// one its predecessor served.
+    pub(super) fn set_incarnation(&self, incarnation: Incarnation) {
+        let record = ListedAgent { incarnation: Some(incarnation), ..self.record.clone() };
         match serde_json::to_vec(&record) {
             Ok(value) => {
                 self.value.send_if_modified(|old| {
@@ -118,7 +118,7 @@
         }
     };
     match serde_json::from_slice::<ListedAgent>(&kv.value) {
-        Ok(record) => Previous::Present(record.target),
+        Ok(record) => Previous::Present(record.incarnation),
         Err(e) => {
             metrics::dropped("entry_unreadable");
             log::error!(
@@ -137,6 +137,6 @@
     Unknown,
     /// There is none.
     Absent,
-    /// The start of the target that the previous process served, if known.
+    /// The target's incarnation that the previous process served, if known.
     Present(Option<Incarnation>),
 }
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -31,7 +31,7 @@
 pub async fn run(
     store: Client,
     relay: Relay,
-    steer: Rc<RefCell<FlowSteering>>,
+    steering: Rc<RefCell<FlowSteering>>,
     mut snapshots: watch::Receiver<Option<Arc<Snapshot>>>,
 ) {
     // Keeps the key's lease while this balancer is the relay; dropping the set
@@ -65,7 +65,7 @@
             }
         }
         let published = match &snapshot {
-            Some(snapshot) => publish_parts(&store, &relay, &steer, snapshot).await,
+            Some(snapshot) => publish_parts(&store, &relay, &steering, snapshot).await,
             None => Ok(()),
         };
         let failed = published.is_err();
@@ -102,10 +102,10 @@
 async fn publish_parts(
     store: &Client,
     relay: &Relay,
-    steer: &RefCell<FlowSteering>,
+    steering: &RefCell<FlowSteering>,
     snapshot: &Snapshot,
 ) -> anyhow::Result<()> {
-    let (pending, version) = match steer.borrow().routes() {
+    let (pending, version) = match steering.borrow().routes() {
         Some(routes) => (relay.pending_transaction(snapshot, routes)?, routes.version),
         None => return Ok(()),
     };
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -13,38 +13,42 @@
 use crate::tracker::FlowTracker;
 use crate::{events, metrics};
 
-/// Serves the endpoint and applies each report to `holder`.
+/// Serves the endpoint and applies each report to `tracker`.
 pub(super) async fn serve(
     addr: SocketAddr,
-    holder: Rc<RefCell<FlowTracker>>,
+    tracker: Rc<RefCell<FlowTracker>>,
     registration: Rc<Registration>,
 ) -> anyhow::Result<Server> {
     Server::start(addr, move |request| {
-        handle_report(&request, &mut holder.borrow_mut(), &registration)
+        handle_report(&request, &mut tracker.borrow_mut(), &registration)
     })
     .await
 }
 
-fn handle_report(request: &Asked, holder: &mut FlowTracker, registration: &Registration) -> Answer {
+fn handle_report(
+    request: &Asked,
+    tracker: &mut FlowTracker,
+    registration: &Registration,
+) -> Answer {
     let now = Instant::now();
     match instances::decode(&request.path, &request.body, registration.target) {
         Ok(Some(instances::InstanceCall::Heartbeat(r))) => {
-            let (start, state, seq) = (r.incarnation.clone(), r.state, r.seq);
-            if holder.handle_report(r, now) {
+            let (incarnation, state, seq) = (r.incarnation.clone(), r.state, r.seq);
+            if tracker.handle_report(r, now) {
                 log::info!(
-                    event = events::EDGE_TARGET, target_id:% = start, state:% = state, report = seq,
-                    flows = holder.flow_count();
+                    event = events::EDGE_TARGET, target_id:% = incarnation, state:% = state, report = seq,
+                    flows = tracker.flow_count();
                     "target reported a new state"
                 );
-                registration.set_target_start(start);
+                registration.set_incarnation(incarnation);
             }
             Answer::json(instances::RESPONSE.to_string())
         }
-        Ok(Some(instances::InstanceCall::Deregister(start))) => {
-            if holder.handle_shutdown_notice(&start, now) {
+        Ok(Some(instances::InstanceCall::Deregister(incarnation))) => {
+            if tracker.handle_shutdown_notice(&incarnation, now) {
                 log::info!(
-                    event = events::EDGE_TARGET, target_id:% = start, state = "gone",
-                    flows = holder.flow_count();
+                    event = events::EDGE_TARGET, target_id:% = incarnation, state = "gone",
+                    flows = tracker.flow_count();
                     "target deregistered"
                 );
             }
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -13,7 +13,7 @@
 use crate::policy::{BalancerPolicy, Policy};
 
 /// Default of [`Settings::relay_kib`].
-const RELAY_KIB: usize = 256;
+const DEFAULT_RELAY_KIB: usize = 256;
 
 /// Settings of one process.
 #[derive(Clone, Debug, Deserialize)]
@@ -54,7 +54,8 @@
     /// Bandwidth of the VM's link, in Mbit/s.
     pub link_mbps: f64,
     /// Time limits set by the platform.
-    pub bounds: TimeLimits,
+    #[serde(rename = "bounds")]
+    pub limits: TimeLimits,
     /// Limits and timeouts under overload and failures.
     pub policy: Policy,
 }
@@ -87,11 +88,11 @@
             metrics: 9_464,
             store: any.into(),
             seeds: Vec::new(),
-            relay_kib: RELAY_KIB,
+            relay_kib: DEFAULT_RELAY_KIB,
             cpu_share: 1.0,
             link_mbps: 1_000.0,
             policy: Policy::default(),
-            bounds: TimeLimits::default(),
+            limits: TimeLimits::default(),
         }
     }
 }
@@ -135,8 +136,8 @@
             bail!("field `relay_kib`: must be above 0");
         }
         for (field, value) in [
-            ("bounds.grace_s", self.bounds.grace_s),
-            ("bounds.flow_s", self.bounds.flow_s),
+            ("bounds.grace_s", self.limits.grace_s),
+            ("bounds.flow_s", self.limits.flow_s),
             ("cpu_share", self.cpu_share),
             ("link_mbps", self.link_mbps),
         ] {
@@ -149,7 +150,7 @@
 
     /// Address at which this process receives messages of balancers and agents.
     #[must_use]
-    pub const fn bus_addr(&self) -> SocketAddrV4 {
+    pub const fn message_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.ports.0)
     }
 
@@ -164,7 +165,7 @@
     /// How long a flow without packets is remembered.
     #[must_use]
     pub fn flow_lifetime(&self) -> Duration {
-        Duration::from_secs_f64(self.bounds.flow_s)
+        Duration::from_secs_f64(self.limits.flow_s)
     }
 
     /// Least size of a configuration that is published in parts, in bytes.
@@ -175,13 +176,13 @@
 
     /// Balancer policy, scaled to the VM's link and CPU share.
     #[must_use]
-    pub fn steering(&self) -> BalancerPolicy {
+    pub fn balancer_policy(&self) -> BalancerPolicy {
         self.policy.balancer.clone().scaled_to_vm(self.link_mbps, self.cpu_share)
     }
 
     /// Grace period of a planned stop.
     #[must_use]
     pub fn stop_grace(&self) -> Duration {
-        Duration::from_secs_f64(self.bounds.grace_s)
+        Duration::from_secs_f64(self.limits.grace_s)
     }
 }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -50,7 +50,7 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 struct Sockets {
-    bus: Socket,
+    messages: Socket,
     outbound: Socket,
     target: SocketAddrV4,
     caller_port: u16,
@@ -60,7 +60,8 @@
     async fn bind(settings: &Settings) -> anyhow::Result<Self> {
         let outbound = settings.outbound.with_context(missing_field("outbound"))?;
         Ok(Self {
-            bus: Socket::bind(settings.bus_addr(), "messages of balancers and agents").await?,
+            messages: Socket::bind(settings.message_addr(), "messages of balancers and agents")
+                .await?,
             outbound: Socket::bind(outbound, "packets of the target").await?,
             target: settings.target.with_context(missing_field("target"))?,
             caller_port: settings.packets.port(),
@@ -80,7 +81,9 @@
     }
 
     fn send_to_caller(&mut self, to: SocketAddrV4, packet: &[u8]) {
-        self.sockets.bus.send_packet(SocketAddrV4::new(*to.ip(), self.sockets.caller_port), packet);
+        self.sockets
+            .messages
+            .send_packet(SocketAddrV4::new(*to.ip(), self.sockets.caller_port), packet);
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
@@ -88,7 +91,7 @@
     }
 
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.sockets.bus.send_message(to, message, packet, self.buf);
+        self.sockets.messages.send_message(to, message, packet, self.buf);
     }
 }
 
@@ -102,10 +105,10 @@
     let settings = Settings::load(path)?;
     let service = settings.service.clone().with_context(missing_field("service"))?;
     let sockets = Sockets::bind(&settings).await?;
-    let holder = FlowTracker::new(service.clone(), settings.flow_lifetime())
+    let tracker = FlowTracker::new(service.clone(), settings.flow_lifetime())
         .with_policy(settings.policy.agent.clone());
-    let holder = Rc::new(RefCell::new(holder));
-    let inspect_server = inspect::serve(&settings, holder.clone()).await?;
+    let tracker = Rc::new(RefCell::new(tracker));
+    let inspect_server = inspect::serve(&settings, tracker.clone()).await?;
     log::info!(
         event = events::EDGE_START, name:% = settings.name, zone:% = settings.zone,
         service:% = service, ip:% = settings.ip;
@@ -115,21 +118,21 @@
     let key = format!("{AGENT_PREFIX}{}", settings.ip);
     match read_previous(&store, &key).await {
         Previous::Unknown => {}
-        Previous::Absent => holder.borrow_mut().mark_new(),
-        Previous::Present(target) => holder.borrow_mut().set_predecessor(target, Instant::now()),
+        Previous::Absent => tracker.borrow_mut().mark_new(),
+        Previous::Present(target) => tracker.borrow_mut().set_predecessor(target, Instant::now()),
     }
     let record = ListedAgent {
-        addr: settings.bus_addr(),
+        addr: settings.message_addr(),
         zone: settings.zone.clone(),
         service,
-        target: None,
+        incarnation: None,
     };
     let (value, values) = watch::channel(serde_json::to_vec(&record)?);
     let target = sockets.target;
     let registration =
         Rc::new(Registration { record, target, value, lease_check: Rc::new(Notify::new()) });
     let report_addr = settings.reports.with_context(missing_field("reports"))?;
-    let report_server = reports::serve(report_addr, holder.clone(), registration.clone()).await?;
+    let report_server = reports::serve(report_addr, tracker.clone(), registration.clone()).await?;
     let ready_server = match settings.ready {
         Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
         None => None,
@@ -137,16 +140,16 @@
     let holding =
         hold_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
     let registrar = tokio::task::spawn_local(holding);
-    super::run_until_stopped(path, forward(&sockets, &holder, &registration)).await?;
-    let ended = check_target_ended(&sockets, &holder).await;
+    super::run_until_stopped(path, forward(&sockets, &tracker, &registration)).await?;
+    let ended = check_target_ended(&sockets, &tracker).await;
     log::info!(
-        event = events::EDGE_STOP, name:% = settings.name, flows = holder.borrow().flow_count(),
-        waiting = holder.borrow().waiting_count(), target_ended = ended;
+        event = events::EDGE_STOP, name:% = settings.name, flows = tracker.borrow().flow_count(),
+        waiting = tracker.borrow().waiting_count(), target_ended = ended;
         "agent is stopping"
     );
     registrar.abort();
     let _ = registrar.await;
-    holder.borrow_mut().stop_accepting();
+    tracker.borrow_mut().stop_accepting();
     let stop_limit = settings.stop_grace().mul_f64(STOP_FRACTION);
     let stopping = async {
         if ended {
@@ -154,17 +157,17 @@
             tokio::time::sleep(DEREGISTERED_DELAY).await;
         } else {
             // After the limit the agent stops with work still in progress.
-            let _ = tokio::time::timeout(stop_limit, wait_until_idle(&holder)).await;
+            let _ = tokio::time::timeout(stop_limit, wait_until_idle(&tracker)).await;
         }
     };
     tokio::select! {
-        () = forward(&sockets, &holder, &registration) => {}
+        () = forward(&sockets, &tracker, &registration) => {}
         () = stopping => {}
     }
     if !ended {
         let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
-        holder.borrow().send_owner_hints(
-            settings.bus_addr(),
+        tracker.borrow().send_owner_hints(
+            settings.message_addr(),
             &mut PacketSender { sockets: &sockets, buf: &mut buf },
         );
     }
@@ -178,32 +181,32 @@
 }
 
 /// Waits until the target of a stopping agent has no work in progress.
-async fn wait_until_idle(holder: &RefCell<FlowTracker>) {
-    while !holder.borrow().is_drained() {
+async fn wait_until_idle(tracker: &RefCell<FlowTracker>) {
+    while !tracker.borrow().is_drained() {
         tokio::time::sleep(IDLE_POLL).await;
     }
 }
 
 /// Returns whether the target has ended. Probes its port, because its
 /// deregistration may have been lost or be in flight.
-async fn check_target_ended(sockets: &Sockets, holder: &RefCell<FlowTracker>) -> bool {
-    if !holder.borrow().target_ended() && port::probe(sockets.target).await == PortState::Closed {
+async fn check_target_ended(sockets: &Sockets, tracker: &RefCell<FlowTracker>) -> bool {
+    if !tracker.borrow().target_ended() && port::probe(sockets.target).await == PortState::Closed {
         let mut buf = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
         let mut out = PacketSender { sockets, buf: &mut buf };
-        port::apply_state(
-            &mut holder.borrow_mut(),
+        port::apply_probe(
+            &mut tracker.borrow_mut(),
             PortState::Closed,
             sockets.target,
             Instant::now(),
             &mut out,
         );
     }
-    holder.borrow().target_ended()
+    tracker.borrow().target_ended()
 }
 
 impl Inspect for FlowTracker {
-    fn beliefs(&self, flow: Option<Flow>) -> serde_json::Value {
-        Self::status_json(self, flow, Instant::now())
+    fn current_state(&self, flow: Option<Flow>) -> serde_json::Value {
+        Self::state_json(self, flow, Instant::now())
     }
 
     fn publish_gauges(&self) {
@@ -212,25 +215,25 @@
     }
 }
 
-/// What one read of the bus socket delivered.
+/// What one read of the message socket delivered.
 #[derive(Debug, Default)]
-struct BusActivity {
+struct MessageActivity {
     /// At least one datagram arrived.
     received: bool,
     /// A balancer does not see the agent's registration.
     unregistered: bool,
 }
 
-/// Passes messages of balancers and other agents to `holder`.
-fn read_bus(
+/// Passes messages of balancers and other agents to `tracker`.
+fn read_messages(
     sockets: &Sockets,
     buf: &mut [u8],
-    holder: &mut FlowTracker,
+    tracker: &mut FlowTracker,
     now: Instant,
     out: &mut PacketSender<'_>,
-) -> BusActivity {
-    let mut activity = BusActivity::default();
-    sockets.bus.read_batch(buf, |datagram, from| {
+) -> MessageActivity {
+    let mut activity = MessageActivity::default();
+    sockets.messages.read_batch(buf, |datagram, from| {
         activity.received = true;
         let Ok((message, packet)) = protocol::decode(datagram) else {
             metrics::dropped("not a message");
@@ -238,30 +241,32 @@
         };
         activity.unregistered |= message == Message::Ping { listed: false };
         match (packet.is_empty(), packet::decode(packet)) {
-            (true, _) => holder.handle_message(from, &message, None, packet, now, out),
-            (false, Ok(seg)) => holder.handle_message(from, &message, Some(&seg), packet, now, out),
+            (true, _) => tracker.handle_message(from, &message, None, packet, now, out),
+            (false, Ok(seg)) => {
+                tracker.handle_message(from, &message, Some(&seg), packet, now, out)
+            }
             (false, Err(e)) => metrics::dropped(e),
         }
     });
     activity
 }
 
-/// Passes the target's packets to `holder`.
+/// Passes the target's packets to `tracker`.
 fn read_target_packets(
     sockets: &Sockets,
     buf: &mut [u8],
-    holder: &mut FlowTracker,
+    tracker: &mut FlowTracker,
     now: Instant,
     out: &mut PacketSender<'_>,
 ) {
     sockets.outbound.read_batch(buf, |datagram, _| match packet::decode(datagram) {
-        Ok(seg) => holder.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
+        Ok(seg) => tracker.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
         Err(e) => metrics::dropped(e),
     });
 }
 
 /// Forwards packets until the future is dropped.
-async fn forward(sockets: &Sockets, holder: &RefCell<FlowTracker>, registration: &Registration) {
+async fn forward(sockets: &Sockets, tracker: &RefCell<FlowTracker>, registration: &Registration) {
     let mut buf = vec![0; RECV_BUFFER_BYTES];
     let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
     let mut last_rewrite: Option<Instant> = None;
@@ -273,38 +278,38 @@
             last_received = before;
             registration.lease_check.notify_one();
         }
-        if probes.is_empty() && holder.borrow().should_probe(before) {
+        if probes.is_empty() && tracker.borrow().should_probe(before) {
             probes.spawn_local(port::probe(sockets.target));
         }
-        let due = holder.borrow().next_due().filter(|_| probes.is_empty());
+        let due = tracker.borrow().next_deadline().filter(|_| probes.is_empty());
         let wait = due
             .map_or(SILENCE_TIMEOUT, |at| at.saturating_duration_since(before))
             .min(SILENCE_TIMEOUT);
         let mut probed = None;
         tokio::select! {
-            () = sockets.bus.readable() => {}
+            () = sockets.messages.readable() => {}
             () = sockets.outbound.readable() => {}
             Some(port_state) = probes.join_next() => probed = port_state.ok(),
             () = tokio::time::sleep(wait) => {}
         }
-        let mut holder = holder.borrow_mut();
+        let mut tracker = tracker.borrow_mut();
         let mut out = PacketSender { sockets, buf: &mut scratch };
         let now = Instant::now();
         // Only logged: an agent's decisions do not depend on how long others were
         // silent.
         pause::detect(before + wait, now);
         if let Some(port_state) = probed {
-            port::apply_state(&mut holder, port_state, sockets.target, now, &mut out);
+            port::apply_probe(&mut tracker, port_state, sockets.target, now, &mut out);
         }
-        let activity = read_bus(sockets, &mut buf, &mut holder, now, &mut out);
-        read_target_packets(sockets, &mut buf, &mut holder, now, &mut out);
-        holder.tick(now, &mut out);
+        let activity = read_messages(sockets, &mut buf, &mut tracker, now, &mut out);
+        read_target_packets(sockets, &mut buf, &mut tracker, now, &mut out);
+        tracker.tick(now, &mut out);
         if activity.received {
             last_received = now;
         }
-        let serves = holder.target().is_some_and(Target::is_alive);
+        let target_alive = tracker.target().is_some_and(Target::is_alive);
         if activity.unregistered
-            && serves
+            && target_alive
             && last_rewrite.is_none_or(|at| now.duration_since(at) >= REWRITE_INTERVAL)
         {
             last_rewrite = Some(now);
--- a/src/edge/snapshot.rs
+++ b/src/edge/snapshot.rs
@@ -23,22 +23,22 @@
 }
 
 impl SnapshotReader {
-    /// Applies the changes since the last snapshot to `steer`.
-    pub fn apply_snapshot(&mut self, steer: &mut FlowSteering, snapshot: &Snapshot) {
+    /// Applies the changes since the last snapshot to `steering`.
+    pub fn apply_snapshot(&mut self, steering: &mut FlowSteering, snapshot: &Snapshot) {
         if let Some(kv) = snapshot.keys.get(platform::config::CONFIG_KEY)
             && kv.rev != self.config_rev
         {
             self.config_rev = kv.rev;
-            apply_config(steer, kv);
+            apply_config(steering, kv);
         }
-        self.apply_parts(steer, snapshot);
+        self.apply_parts(steering, snapshot);
         if self.decode_agents(snapshot) {
             let agents: Vec<ListedAgent> =
                 self.agents.values().filter_map(|(_, a)| a.clone()).collect();
-            if steer.roster.update(&agents, Instant::now()) {
+            if steering.roster.update(&agents, Instant::now()) {
                 log::info!(
                     event = events::EDGE_ROSTER, listed = agents.len(),
-                    believed = steer.roster.len(), rev = snapshot.rev;
+                    believed = steering.roster.len(), rev = snapshot.rev;
                     "list of registered agents changed"
                 );
             }
@@ -47,13 +47,13 @@
 
     /// Applies the configuration that a relay published in parts, if it is newer
     /// than the one in force.
-    fn apply_parts(&mut self, steer: &mut FlowSteering, snapshot: &Snapshot) {
+    fn apply_parts(&mut self, steering: &mut FlowSteering, snapshot: &Snapshot) {
         let Some((index, rev)) =
             relay::read_index(snapshot).filter(|(_, rev)| *rev != self.index_rev)
         else {
             return;
         };
-        if steer.config_version() >= Some(index.version) {
+        if steering.config_version() >= Some(index.version) {
             self.index_rev = rev;
             return;
         }
@@ -82,7 +82,7 @@
         self.index_rev = rev;
         let routes = relay::parts::join(&index, parts.values().map(|(_, part)| part));
         self.parts = parts;
-        apply_routes(steer, routes, rev, decoded);
+        apply_routes(steering, routes, rev, decoded);
     }
 
     /// Decodes the registrations that changed. Returns whether any was added,
@@ -124,17 +124,17 @@
 }
 
 /// Applies the operators' configuration, unless a newer one is in force.
-fn apply_config(steer: &mut FlowSteering, kv: &Kv) {
+fn apply_config(steering: &mut FlowSteering, kv: &Kv) {
     match platform::config::decode(&kv.value) {
-        Ok(routes) => apply_routes(steer, routes, kv.rev, 0),
+        Ok(routes) => apply_routes(steering, routes, kv.rev, 0),
         Err(e) => log_unreadable_config(kv, &e),
     }
 }
 
 /// Applies `routes`; `decoded_parts` is only logged.
-fn apply_routes(steer: &mut FlowSteering, routes: Routes, rev: i64, decoded_parts: usize) {
+fn apply_routes(steering: &mut FlowSteering, routes: Routes, rev: i64, decoded_parts: usize) {
     let (version, n) = (routes.version, routes.by_address.len());
-    if steer.apply_routes(routes) {
+    if steering.apply_routes(routes) {
         log::info!(
             event = events::EDGE_CONFIG, version = version, routes = n, rev = rev,
             parts = decoded_parts;
--- a/src/events/mod.rs
+++ b/src/events/mod.rs
@@ -84,11 +84,11 @@
 pub const EDGE_STORE: &str = "E703";
 /// A configuration is in force, or was refused.
 pub const EDGE_CONFIG: &str = "E704";
-/// The agents that a balancer believes in changed.
+/// The agents that a balancer knows changed.
 pub const EDGE_ROSTER: &str = "E705";
 /// A target's state changed.
 pub const EDGE_TARGET: &str = "E706";
-/// A balancer hands a large configuration on in parts, or no longer does.
+/// A balancer publishes a large configuration in parts, or no longer does.
 pub const EDGE_RELAY: &str = "E707";
 /// The process did not run for a while.
 pub const EDGE_PAUSED: &str = "E708";
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -59,7 +59,7 @@
     /// Rendezvous-hashing weight of `agent` for this flow. Ranking agents by weight
     /// keeps most flows on the same agent when the list of agents changes.
     #[must_use]
-    pub fn preference(&self, agent: SocketAddrV4) -> u64 {
+    pub fn rendezvous_weight(&self, agent: SocketAddrV4) -> u64 {
         let seed = u64::from(u32::from(*agent.ip())) << 16 | u64::from(agent.port());
         xxh3_64_with_seed(&self.bytes(), seed)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,7 @@
 //! - [`admin`]: what the processes of a site ask each other.
 //! - [`ctl`]: the operator's tool.
 //! - [`mod@bench`]: the load tool that prints broken flows and imbalance.
-//! - [`relay`]: a large configuration handed on between balancers in parts.
+//! - [`relay`]: a large configuration published to the balancers in parts.
 //! - [`script`]: scripted changes and faults for trials and tests.
 //! - [`model`]: a site on a virtual clock, for decisions under load and trouble.
 //! - [`experiment`]: policies compared on the model.
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -53,7 +53,7 @@
                 let zone = (i % u16::from(site.zones)) as u8;
                 let mut agent = Agent {
                     host: Host::new(site.agent_cpu, AGENT_MBPS, self.now),
-                    holder: self.holder(service),
+                    tracker: self.new_tracker(service),
                     service,
                     zone,
                     target: Target::new(s.slots, s.queue, self.rng.random(), self.now),
@@ -63,7 +63,7 @@
                 };
                 agent.target.reports = 1;
                 let report = self.report(service, 1, 1);
-                agent.holder.handle_report(report, self.now);
+                agent.tracker.handle_report(report, self.now);
                 self.agents.push(agent);
                 let n = self.agents.len() - 1;
                 let first = REPORT.mul_f64(self.rng.random());
@@ -104,19 +104,19 @@
     pub(super) fn add_balancer(&mut self, zone: u8) -> usize {
         let n = self.balancers.len();
         let host = Host::new(self.site.balancer_cpu, self.site.link_mbps, self.now);
-        let steer = self.steer(n, zone);
-        self.balancers.push(Balancer { host, steer, zone, rotation: false, missed: 0 });
+        let steering = self.new_steering(n, zone);
+        self.balancers.push(Balancer { host, steering, zone, rotation: false, missed: 0 });
         n
     }
 
-    pub(super) fn steer(&self, n: usize, zone: u8) -> FlowSteering {
+    pub(super) fn new_steering(&self, n: usize, zone: u8) -> FlowSteering {
         let policy =
             self.policy.balancer.clone().scaled_to_vm(self.site.link_mbps, self.site.balancer_cpu);
         FlowSteering::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60))
             .with_policy(policy)
     }
 
-    pub(super) fn holder(&self, service: usize) -> FlowTracker {
+    pub(super) fn new_tracker(&self, service: usize) -> FlowTracker {
         let name = self.site.services[service].name.into();
         FlowTracker::new(name, Duration::from_secs(60)).with_policy(self.policy.agent.clone())
     }
@@ -136,9 +136,9 @@
     fn routes(&self) -> Routes {
         let routes = self.site.classes.iter().enumerate().map(|(n, class)| {
             let service = self.site.services[class.service].name.into();
-            let share = WeightedService { service, weight: 1, max_flows: 2_000 };
+            let weighted = WeightedService { service, weight: 1, max_flows: 2_000 };
             let route =
-                Route { name: "r".into(), services: vec![share], request_timeout: class.limit };
+                Route { name: "r".into(), services: vec![weighted], request_timeout: class.limit };
             (vip(n), route)
         });
         Routes { version: 1, by_address: routes.collect(), idle_timeout: Duration::from_secs(15) }
@@ -155,14 +155,14 @@
                 addr: agent_addr(i),
                 zone: zone_name(a.zone),
                 service: self.site.services[a.service].name.into(),
-                target: Some(self.report(a.service, a.listed, 1).incarnation),
+                incarnation: Some(self.report(a.service, a.listed, 1).incarnation),
             })
             .collect();
         let routes = self.routes();
-        let steer = &mut self.balancers[n].steer;
-        steer.apply_routes(routes);
-        steer.roster.update(&listed, self.now);
-        steer.set_store_reachable(true, self.now);
+        let steering = &mut self.balancers[n].steering;
+        steering.apply_routes(routes);
+        steering.roster.update(&listed, self.now);
+        steering.set_store_reachable(true, self.now);
         self.wake_balancer(n, self.now);
     }
 }
--- a/src/model/net.rs
+++ b/src/model/net.rs
@@ -135,7 +135,9 @@
         match self.site.spread {
             // Below the number of balancers.
             Spread::Remainder => Some(of[(flow.hash64() % of.len() as u64) as usize]),
-            Spread::Steady => of.into_iter().max_by_key(|n| flow.preference(balancer_addr(*n))),
+            Spread::Steady => {
+                of.into_iter().max_by_key(|n| flow.rendezvous_weight(balancer_addr(*n)))
+            }
         }
     }
 }
--- a/src/model/trouble.rs
+++ b/src/model/trouble.rs
@@ -58,7 +58,7 @@
         if a.host.up {
             let cold = self.agents[n].target.cold_until.saturating_duration_since(self.now);
             let report = Report { warmup: cold, ..self.report(service, boot, seq) };
-            self.agents[n].holder.handle_report(report, self.now);
+            self.agents[n].tracker.handle_report(report, self.now);
             if std::mem::replace(&mut self.agents[n].listed, boot) != boot {
                 self.read_soon();
             }
@@ -69,7 +69,7 @@
 
     fn probe(&mut self) {
         for b in &mut self.balancers {
-            if b.host.up && b.steer.is_ready() {
+            if b.host.up && b.steering.is_ready() {
                 b.missed = 0;
                 b.rotation = true;
             } else {
@@ -94,7 +94,7 @@
 
     fn start_balancer(&mut self, n: usize) {
         let zone = self.balancers[n].zone;
-        self.balancers[n].steer = self.steer(n, zone);
+        self.balancers[n].steering = self.new_steering(n, zone);
         let host = &mut self.balancers[n].host;
         host.start(self.now);
         let boot = host.boot;
@@ -109,10 +109,10 @@
         // The store tells for which start of the target the last process took
         // flows.
         let before = self.report(service, self.agents[n].listed, 1).incarnation;
-        let mut holder = self.holder(service);
-        holder.set_predecessor(Some(before), self.now);
+        let mut tracker = self.new_tracker(service);
+        tracker.set_predecessor(Some(before), self.now);
         let a = &mut self.agents[n];
-        a.holder = holder;
+        a.tracker = tracker;
         a.probing = false;
         a.host.start(self.now);
         self.wake_agent(n, self.now);
@@ -211,7 +211,7 @@
     fn see(&mut self, answers: bool, now: Instant) {
         self.store = answers;
         for b in &mut self.balancers {
-            b.steer.set_store_reachable(answers, now);
+            b.steering.set_store_reachable(answers, now);
         }
     }
 
@@ -238,8 +238,8 @@
         if b.host.boot != boot {
             return;
         }
-        if b.steer.is_ready() {
-            b.steer.begin_shutdown();
+        if b.steering.is_ready() {
+            b.steering.begin_shutdown();
             self.events.put(self.now + LINGER, Event::Stopped(n, boot));
         } else {
             b.host.stop();
@@ -253,7 +253,7 @@
         if !a.host.up {
             return;
         }
-        a.holder.stop_accepting();
+        a.tracker.stop_accepting();
         let boot = a.host.boot;
         self.events.put(self.now + FINISH, Event::AgentEnds(n, boot));
     }
@@ -264,7 +264,7 @@
             return;
         }
         let mut out = Wires::default();
-        a.holder.send_owner_hints(agent_addr(n), &mut out);
+        a.tracker.send_owner_hints(agent_addr(n), &mut out);
         self.agent_sends(n, out, self.now);
         self.agents[n].host.stop();
         self.events.put(self.now + RESTART, Event::StartAgent(n));
@@ -277,7 +277,7 @@
         let a = &mut self.agents[n];
         a.left = true;
         a.target.crash();
-        a.holder.mark_target_ended(&mut out);
+        a.tracker.mark_target_ended(&mut out);
         self.agent_sends(n, out, self.now);
         self.events.put(self.now + STAY, Event::Left(n));
         self.read_soon();
--- a/src/model/world.rs
+++ b/src/model/world.rs
@@ -116,7 +116,7 @@
 /// A balancer with its VM.
 pub(super) struct Balancer {
     pub(super) host: Host,
-    pub(super) steer: FlowSteering,
+    pub(super) steering: FlowSteering,
     pub(super) zone: u8,
     /// Whether routers hand it flows, and how often it was not ready since.
     pub(super) rotation: bool,
@@ -126,7 +126,7 @@
 /// An agent with its VM and target.
 pub(super) struct Agent {
     pub(super) host: Host,
-    pub(super) holder: FlowTracker,
+    pub(super) tracker: FlowTracker,
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
@@ -274,19 +274,19 @@
         let mut out = Wires::default();
         for (from, bytes) in &messages {
             if let Ok((message, _)) = protocol::decode(bytes) {
-                b.steer.handle_message(*from, &message, self.now, &mut out);
+                b.steering.handle_message(*from, &message, self.now, &mut out);
             }
         }
         for bytes in &packets {
             if let Ok(seg) = packet::decode(bytes) {
-                b.steer.handle_packet(&seg, bytes, self.now, &mut out);
+                b.steering.handle_packet(&seg, bytes, self.now, &mut out);
             }
         }
         if b.host.caught_up() {
-            b.steer.tick(self.now, &mut out);
+            b.steering.tick(self.now, &mut out);
         }
         let done = b.host.work(packets.len() + messages.len() + out.0.len(), self.now);
-        let due = if b.host.waits() { Some(done) } else { b.steer.next_deadline(done) };
+        let due = if b.host.waits() { Some(done) } else { b.steering.next_deadline(done) };
         self.balancer_sends(n, out, done);
         if let Some(at) = due {
             self.wake_balancer(n, at.max(done));
@@ -299,7 +299,7 @@
             return;
         }
         a.host.next = None;
-        if !a.probing && a.holder.should_probe(self.now) {
+        if !a.probing && a.tracker.should_probe(self.now) {
             a.probing = true;
             let at = self.now + Duration::from_millis(1);
             self.events.put(at, Event::Port(n, a.host.boot));
@@ -309,18 +309,21 @@
         for (from, bytes) in &messages {
             let Ok((message, rest)) = protocol::decode(bytes) else { continue };
             let seg = packet::decode(rest).ok();
-            a.holder.handle_message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
+            a.tracker.handle_message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
         }
         for bytes in &mut packets {
             if let Ok(seg) = packet::decode(bytes) {
                 let clear = packet::clear_bounced;
-                a.holder.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
+                a.tracker.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
             }
         }
-        a.holder.tick(self.now, &mut out);
+        a.tracker.tick(self.now, &mut out);
         let done = a.host.work(packets.len() + messages.len() + out.0.len(), self.now);
-        let due =
-            if a.host.waits() { Some(done) } else { a.holder.next_due().filter(|_| !a.probing) };
+        let due = if a.host.waits() {
+            Some(done)
+        } else {
+            a.tracker.next_deadline().filter(|_| !a.probing)
+        };
         self.agent_sends(n, out, done);
         if let Some(at) = due {
             self.wake_agent(n, at.max(done));
@@ -335,9 +338,9 @@
         a.probing = false;
         let mut out = Wires::default();
         if a.target.up {
-            a.holder.defer_probe(self.now);
+            a.tracker.defer_probe(self.now);
         } else {
-            a.holder.mark_target_ended(&mut out);
+            a.tracker.mark_target_ended(&mut out);
         }
         self.agent_sends(n, out, self.now);
         self.wake_agent(n, self.now);
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -118,13 +118,13 @@
     r: &RouteJson,
     max_flows: &HashMap<&str, u32>,
 ) -> Vec<crate::steering::WeightedService> {
-    let share = |service: &Arc<str>, weight| crate::steering::WeightedService {
+    let weighted = |service: &Arc<str>, weight| crate::steering::WeightedService {
         service: service.clone(),
         weight,
         max_flows: max_flows.get(&**service).copied().unwrap_or(u32::MAX),
     };
     match &r.service {
-        Some(service) => vec![share(service, 1)],
-        None => r.backends.iter().map(|b| share(&b.service, b.weight)).collect(),
+        Some(service) => vec![weighted(service, 1)],
+        None => r.backends.iter().map(|b| weighted(&b.service, b.weight)).collect(),
     }
 }
--- a/src/policy/agent.rs
+++ b/src/policy/agent.rs
@@ -24,14 +24,14 @@
     /// the agent restarted and missed the answer.
     #[serde(rename = "longest_work", with = "millis")]
     pub request_timeout: Duration,
-    /// Requests that may queue for a slot before opens are declined, as a multiple of
+    /// Requests that may queue for a slot before opens are refused, as a multiple of
     /// the slots.
     #[serde(rename = "queue")]
     pub queue_ratio: f64,
     /// The same limit for opens that balancers mark as aged.
     #[serde(rename = "aged_queue")]
     pub aged_queue_ratio: f64,
-    /// How long a target that bounced an open is offered none.
+    /// How long a target that returned an open is offered none.
     #[serde(rename = "full", with = "millis")]
     pub full_pause: Duration,
     /// How long a closed flow is remembered, as in TCP's `TIME_WAIT`, so that late
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -91,10 +91,10 @@
     pub relist_grace: Duration,
     /// Packets queued until the first configuration arrives.
     #[serde(rename = "parked")]
-    pub max_parked: usize,
+    pub max_queued_packets: usize,
     /// Interval at which the queue is checked for a new configuration.
     #[serde(rename = "unpark", with = "millis")]
-    pub unpark_interval: Duration,
+    pub queue_check_interval: Duration,
     /// Failure detection of agents.
     #[serde(alias = "doubt")]
     pub suspicion: SuspicionPolicy,
@@ -123,8 +123,8 @@
             max_trials: 2,
             restart_wait: Duration::from_millis(1_200),
             relist_grace: Duration::from_millis(2_500),
-            max_parked: 512,
-            unpark_interval: Duration::from_millis(20),
+            max_queued_packets: 512,
+            queue_check_interval: Duration::from_millis(20),
             suspicion: SuspicionPolicy::default(),
         }
     }
@@ -149,7 +149,7 @@
             ("slowest", self.max_timeout),
             ("round", self.retry_delay),
             ("longest_round", self.max_retry_delay),
-            ("unpark", self.unpark_interval),
+            ("unpark", self.queue_check_interval),
             ("suspicion.ping", self.suspicion.ping_interval),
         ];
         for (field, time) in times {
--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -18,14 +18,15 @@
     Hints,
     /// Queries to agents are rate-limited.
     #[display("ask-budget")]
-    AskBudget,
+    #[value(name = "ask-budget")]
+    QueryBudget,
     /// Retries of opens are rate-limited.
     #[display("retry-budget")]
     RetryBudget,
     /// Response timeouts adapt to measured round trips and back off exponentially.
     #[display("backoff")]
     Backoff,
-    /// Opens are declined while a target's request queue is long.
+    /// Opens are refused while a target's request queue is long.
     #[display("short-queue")]
     ShortQueue,
     /// Aged opens yield to newer ones at a busy target.
@@ -33,28 +34,33 @@
     Aging,
     /// Opens are retried for a while instead of refused at once.
     #[display("patience")]
-    Patience,
+    #[value(name = "patience")]
+    OpenRetries,
     /// Packets are queued until the first configuration arrives.
     #[display("parking")]
-    Parking,
+    #[value(name = "parking")]
+    ConfigQueue,
     /// Packets are buffered while their flows' owners are searched for.
     #[display("keeping")]
-    Keeping,
+    #[value(name = "keeping")]
+    PacketBuffer,
     /// Packets of a flow without a known owner are tried at targets.
     #[display("trials")]
     Trials,
     /// Trials wait for agents that may be restarting.
     #[display("restart-wait")]
     RestartWait,
-    /// A target that bounced an open is offered none for a while.
+    /// A target that returned an open is offered none for a while.
     #[display("full-pause")]
     FullPause,
     /// An open without a completed handshake stops counting as load early.
     #[display("short-open-wait")]
-    ShortOpenWait,
+    #[value(name = "short-open-wait")]
+    HandshakeTimeout,
     /// A new agent takes no flow until every balancer can have read its listing.
     #[display("newcomer-wait")]
-    NewcomerWait,
+    #[value(name = "newcomer-wait")]
+    AnnounceDelay,
 }
 
 impl Mechanism {
@@ -64,21 +70,23 @@
         match self {
             Self::Waves => balancer.wave_sizes.clear(),
             Self::Hints => (balancer.hints_enabled, agent.hints_enabled) = (false, false),
-            Self::AskBudget => (balancer.query_rate, balancer.query_burst) = (UNBOUNDED, UNBOUNDED),
+            Self::QueryBudget => {
+                (balancer.query_rate, balancer.query_burst) = (UNBOUNDED, UNBOUNDED)
+            }
             Self::RetryBudget => {
                 (balancer.retry_burst, balancer.retry_rate) = (UNBOUNDED, UNBOUNDED)
             }
             Self::Backoff => balancer.max_timeout = balancer.min_timeout,
             Self::ShortQueue => (agent.queue_ratio, agent.aged_queue_ratio) = (1e5, 1e5),
             Self::Aging => agent.aged_queue_ratio = agent.queue_ratio,
-            Self::Patience => balancer.open_timeout = Duration::ZERO,
-            Self::Parking => balancer.max_parked = 0,
-            Self::Keeping => (balancer.buffer_packets, balancer.buffer_bytes) = (1, 0),
+            Self::OpenRetries => balancer.open_timeout = Duration::ZERO,
+            Self::ConfigQueue => balancer.max_queued_packets = 0,
+            Self::PacketBuffer => (balancer.buffer_packets, balancer.buffer_bytes) = (1, 0),
             Self::Trials => balancer.max_trials = 0,
             Self::RestartWait => balancer.restart_wait = Duration::ZERO,
             Self::FullPause => agent.full_pause = Duration::ZERO,
-            Self::ShortOpenWait => agent.handshake_timeout = agent.open_ttl,
-            Self::NewcomerWait => agent.announce_delay = Duration::ZERO,
+            Self::HandshakeTimeout => agent.handshake_timeout = agent.open_ttl,
+            Self::AnnounceDelay => agent.announce_delay = Duration::ZERO,
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -12,6 +12,7 @@
 pub use agent::AgentPolicy;
 pub use balancer::{BalancerPolicy, SuspicionPolicy};
 pub use mechanism::Mechanism;
+
 use serde::{Deserialize, Serialize};
 
 /// Settings of both roles.
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -33,13 +33,13 @@
     /// An agent tells a balancer the status of a flow.
     #[serde(rename = "Note")]
     FlowUpdate(FlowUpdate),
-    /// A balancer asks an agent which flows its target holds.
+    /// A balancer queries an agent for flows that its target may hold.
     #[serde(rename = "Ask")]
     Query(#[serde(borrow)] Query<'a>),
     /// An agent's response to a [`Query`].
     #[serde(rename = "Answers")]
     Response {
-        /// One answer per flow asked for.
+        /// One answer per queried flow.
         answers: Vec<Answer>,
         /// Load of the agent, as [`crate::agent::place::load`].
         load: u32,
@@ -57,7 +57,7 @@
         /// Whether the store lists the agent.
         listed: bool,
     },
-    /// An agent's reply to a [`Message::Ping`].
+    /// An agent's answer to a [`Message::Ping`].
     Pong {
         /// Service of the agent's target.
         service: &'a str,
@@ -71,8 +71,8 @@
 }
 
 impl Message<'_> {
-    /// Whether it forwards a packet to the agent believed to own the flow, rather
-    /// than locating or placing a flow.
+    /// Whether it forwards a packet to the known owner of its flow, rather than locating
+    /// or placing a flow.
     #[must_use]
     pub const fn is_forward_to_owner(&self) -> bool {
         matches!(self, Self::Forward { mode: ForwardMode::Owner, .. })
@@ -99,8 +99,8 @@
 /// in 1,236 bytes and is not fragmented.
 pub const MAX_QUERY_FLOWS: usize = 40;
 
-/// Asks which flows a target holds. Caller data is left out, as most of the agents
-/// queried do not hold the flow.
+/// A query for flows that a target may hold. It carries no caller data, as the
+/// targets of most queried agents do not hold the flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query<'a> {
     /// Service that the flows' route names.
@@ -136,7 +136,7 @@
 /// missed flows delivers a packet of an unknown flow to its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardMode {
-    /// The balancer believes that the agent owns the flow.
+    /// The balancer knows the agent as the flow's owner.
     Owner,
     /// No agent is known to own the flow, and this one may.
     Try,
@@ -169,7 +169,7 @@
     /// The target returned a packet of the flow, so it does not hold it.
     NotOwner,
     /// No process of the target runs. It holds no flow, and takes none until the
-    /// store can list its next start.
+    /// store can list its next incarnation.
     #[serde(rename = "Ended")]
     TargetEnded,
 }
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -15,9 +15,9 @@
 
 impl FlowSteering {
     /// Buffers a packet and starts a search for its flow's owner, unless one is running.
-    pub(super) fn search_owner(&mut self, arrival: &ReceivedPacket<'_>, out: &mut impl Transmit) {
-        let ReceivedPacket { seg, now, .. } = *arrival;
-        let flow = arrival.flow();
+    pub(super) fn search_owner(&mut self, received: &ReceivedPacket<'_>, out: &mut impl Transmit) {
+        let ReceivedPacket { seg, now, .. } = *received;
+        let flow = received.flow();
         let Some(routes) = &self.routes else { return };
         let Some(weighted) = routes.service_for(flow) else {
             if !seg.flags.rst {
@@ -26,8 +26,8 @@
             return;
         };
         let service = weighted.service.clone();
-        // The packet overtook the notification of its open: query the agents that the
-        // open was offered to first.
+        // The packet overtook the update on its open: query the agents that the open was
+        // offered to first.
         let (mut search, offered) = match self.flows.remove(flow) {
             Some(FlowState::Searching(s)) => (s, Vec::new()),
             Some(FlowState::Opening(o)) => (OwnerSearch::default(), o.offered_to),
@@ -38,7 +38,7 @@
         if !running {
             search.packets.clear();
         }
-        search.buffer_packet(seg, arrival.packet, self.buffered_bytes, &self.policy);
+        search.buffer_packet(seg, received.packet, self.buffered_bytes, &self.policy);
         self.buffered_bytes += search.buffered_bytes();
         if !running {
             search.service = service;
@@ -76,7 +76,7 @@
         log::info!(
             event = events::OWNER_ASKED, flow:% = flow, agents = search.agent_count,
             version = self.config_version();
-            "agents asked for a flow's owner"
+            "querying agents for a flow's owner"
         );
         self.query_wave(flow, search, now);
     }
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -26,13 +26,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use queries::QueryQueue;
 pub use roster::{ListedAgent, Roster};
 pub use routes::{Route, Routes, WeightedService};
-use rtt::RttEstimator;
 pub use search::OwnerSearch;
 pub use state::{FlowState, PendingOpen};
 
+use queries::QueryQueue;
+use rtt::RttEstimator;
+
 use crate::events;
 use crate::flow::{Flow, FlowTable, ReceivedPacket, Segment};
 use crate::metrics::{self, Refusal};
@@ -63,13 +64,15 @@
     queries: QueryQueue,
     rtt: RttEstimator,
     retry_budget: TokenBucket,
-    /// Size of all packets buffered by owner searches.
+    /// Size of the packets that all owner searches buffer.
     buffered_bytes: usize,
     /// Since when the store has been reachable. While it is not, agents missing from
     /// the roster may be running.
-    store_up_since: Option<Instant>,
-    parked: VecDeque<Parked>,
-    unpark_at: Option<Instant>,
+    store_reachable_since: Option<Instant>,
+    /// Packets received before the first configuration.
+    queued_packets: VecDeque<QueuedPacket>,
+    /// When to check whether `queued_packets` can be handled.
+    queue_check_at: Option<Instant>,
     shutting_down: bool,
 }
 
@@ -90,9 +93,9 @@
             rtt: RttEstimator::default(),
             retry_budget: TokenBucket::new(0.0),
             buffered_bytes: 0,
-            store_up_since: None,
-            parked: VecDeque::new(),
-            unpark_at: None,
+            store_reachable_since: None,
+            queued_packets: VecDeque::new(),
+            queue_check_at: None,
             shutting_down: false,
         }
         .with_policy(BalancerPolicy::default())
@@ -138,13 +141,14 @@
 
     /// Records whether the store answers.
     pub fn set_store_reachable(&mut self, reachable: bool, now: Instant) {
-        self.store_up_since = if reachable { self.store_up_since.or(Some(now)) } else { None };
+        self.store_reachable_since =
+            if reachable { self.store_reachable_since.or(Some(now)) } else { None };
     }
 
     /// Accounts for a time `paused` in which the process did not run: the store counts
     /// as unreachable until it answers again.
     pub fn resume(&mut self, paused: Duration) {
-        self.store_up_since = None;
+        self.store_reachable_since = None;
         self.roster.resume(paused);
     }
 
@@ -156,21 +160,21 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        let arrival = ReceivedPacket { seg, packet, now };
+        let received = ReceivedPacket { seg, packet, now };
         if self.routes.is_none() {
-            self.park(&arrival);
+            self.queue_packet(&received);
             return;
         }
         if seg.opens_flow() {
-            self.handle_open(&arrival, out);
+            self.handle_open(&received, out);
             return;
         }
-        match self.flows.get(arrival.flow(), now) {
+        match self.flows.get(received.flow(), now) {
             Some(FlowState::Owned { agent, service }) if !self.roster.is_dead(*agent, now) => {
                 let message = Message::Forward { service, mode: ForwardMode::Owner };
                 out.send_to_agent(*agent, &message, packet);
             }
-            _ => self.search_owner(&arrival, out),
+            _ => self.search_owner(&received, out),
         }
     }
 
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Handles an agent's notification about a flow.
+    /// Handles an agent's update on a flow.
     pub fn handle_flow_update(
         &mut self,
         from: SocketAddrV4,
@@ -288,7 +292,7 @@
         serde_json::json!({
             "version": self.config_version(),
             "ready": self.is_ready(),
-            "store_answers_ms": self.store_up_since.map(|at| now.duration_since(at).as_millis()),
+            "store_answers_ms": self.store_reachable_since.map(|at| now.duration_since(at).as_millis()),
             "flows_remembered": self.flows.len(),
             "agents": self.roster.state_json(now),
             "flow": flow.map(|f| self.explain_flow(f, now)),
@@ -327,7 +331,7 @@
         [
             self.deadlines.next_at(),
             self.roster.next_ping(),
-            self.unpark_at,
+            self.queue_check_at,
             self.queries.next_send(now),
         ]
         .into_iter()
@@ -337,9 +341,9 @@
 
     /// Handles expired timers and sends queued queries and pings.
     pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
-        if self.unpark_at.is_some_and(|at| at <= now) {
-            self.unpark_at = None;
-            self.unpark(now, out);
+        if self.queue_check_at.is_some_and(|at| at <= now) {
+            self.queue_check_at = None;
+            self.handle_queued(now, out);
         }
         while let Some(flow) = self.deadlines.pop_due(now) {
             self.handle_deadline(flow, now, out);
@@ -362,25 +366,26 @@
         }
     }
 
-    /// Queues a packet until the first configuration arrives.
-    fn park(&mut self, arrival: &ReceivedPacket<'_>) {
-        if self.parked.len() >= self.policy.max_parked {
+    /// Queues a packet until the first configuration arrives. A full queue drops its
+    /// oldest packet.
+    fn queue_packet(&mut self, received: &ReceivedPacket<'_>) {
+        if self.queued_packets.len() >= self.policy.max_queued_packets {
             metrics::refused(Refusal::NoConfig);
-            self.parked.pop_front();
+            self.queued_packets.pop_front();
         }
-        self.unpark_at.get_or_insert(arrival.now + self.policy.unpark_interval);
-        let (seg, packet) = (*arrival.seg, arrival.packet.to_vec());
-        self.parked.push_back(Parked { arrived_at: arrival.now, seg, packet });
+        self.queue_check_at.get_or_insert(received.now + self.policy.queue_check_interval);
+        let (seg, packet) = (*received.seg, received.packet.to_vec());
+        self.queued_packets.push_back(QueuedPacket { arrived_at: received.now, seg, packet });
     }
 
     /// Handles the queued packets once there is a configuration; drops those older than
     /// the open timeout.
-    fn unpark(&mut self, now: Instant, out: &mut impl Transmit) {
+    fn handle_queued(&mut self, now: Instant, out: &mut impl Transmit) {
         if self.routes.is_none() {
-            self.unpark_at = Some(now + self.policy.unpark_interval);
+            self.queue_check_at = Some(now + self.policy.queue_check_interval);
             return;
         }
-        for p in std::mem::take(&mut self.parked) {
+        for p in std::mem::take(&mut self.queued_packets) {
             if now.duration_since(p.arrived_at) < self.policy.open_timeout {
                 self.handle_packet(&p.seg, &p.packet, now, out);
             }
@@ -411,7 +416,7 @@
 
 /// A packet received before the first configuration.
 #[derive(Debug)]
-struct Parked {
+struct QueuedPacket {
     arrived_at: Instant,
     seg: Segment,
     packet: Vec<u8>,
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -12,14 +12,14 @@
 
 impl FlowSteering {
     /// Offers an open, new or retransmitted, to agents.
-    pub(super) fn handle_open(&mut self, arrival: &ReceivedPacket<'_>, out: &mut impl Transmit) {
-        let (flow, seq, now) = (arrival.flow(), arrival.seg.seq, arrival.now);
+    pub(super) fn handle_open(&mut self, received: &ReceivedPacket<'_>, out: &mut impl Transmit) {
+        let (flow, seq, now) = (received.flow(), received.seg.seq, received.now);
         let Some((route, weighted)) = self.routes.as_ref().and_then(|r| r.route_for(flow)) else {
             refuse_open(flow, Refusal::NoProfile, out);
             return;
         };
         let timeout = self.policy.open_timeout.min(route.request_timeout / 2);
-        let mut opening = PendingOpen::new(weighted, seq, arrival.packet, now, timeout);
+        let mut opening = PendingOpen::new(weighted, seq, received.packet, now, timeout);
         let mut previous = None;
         match self.flows.remove(flow) {
             Some(FlowState::Owned { agent, .. }) => previous = Some(agent),
@@ -60,7 +60,8 @@
     /// Whether the roster is complete: the store has been reachable for long enough that
     /// every live agent is listed again.
     pub(super) fn is_roster_current(&self, now: Instant) -> bool {
-        self.store_up_since.is_some_and(|at| now.duration_since(at) >= self.policy.relist_grace)
+        self.store_reachable_since
+            .is_some_and(|at| now.duration_since(at) >= self.policy.relist_grace)
     }
 
     /// Offers an open to the next two agents, the first of which is `first` if given.
@@ -184,7 +185,7 @@
 
     /// Takes a token from the retry budget; false if there is none.
     fn take_retry_token(&mut self, now: Instant) -> bool {
-        // The number of agents is small enough to be exact.
+        // Exact: there are far fewer agents than 2^53.
         let rate = self.policy.retry_rate * self.roster.len() as f64;
         self.retry_budget.refill(rate, now);
         self.retry_budget.try_take()
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -9,9 +9,9 @@
 use crate::metrics::{self, Refusal};
 
 impl FlowSteering {
-    /// Decides the outcome of a round in which some agents did not answer. Dead agents count as not
-    /// holding the flow if most agents answered; otherwise the balancer itself may be
-    /// partitioned from them.
+    /// Decides the outcome of a round in which some agents did not answer. Dead agents
+    /// count as not holding the flow if most agents answered; otherwise the balancer
+    /// itself may be partitioned from them.
     pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         let all_dead = s.silent.iter().all(|a| self.roster.is_dead(*a, now));
@@ -26,10 +26,10 @@
     }
 
     /// Whether trials need not wait for a silent agent: it has been silent for longer
-    /// than a restart takes, or it left together with its target, as agents do one
-    /// after another in a release.
+    /// than a restart takes, or it left together with its target, as in a rolling
+    /// release.
     fn is_unreachable(&self, agent: SocketAddrV4, now: Instant) -> bool {
-        let left = self.store_up_since.is_some() && self.roster.has_left(agent);
+        let left = self.store_reachable_since.is_some() && self.roster.has_left(agent);
         left || self.roster.is_silent_for(agent, self.policy.restart_wait, now)
     }
 
@@ -42,7 +42,7 @@
         out: &mut impl Transmit,
     ) {
         self.end_round(flow);
-        if lost && self.store_up_since.is_some() {
+        if lost && self.store_reachable_since.is_some() {
             self.reset_lost(flow, out);
         } else {
             self.try_unverified(flow, now, out);
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -28,17 +28,17 @@
     pub zone: Arc<str>,
     /// Service of its target.
     pub service: Arc<str>,
-    /// The start of its target that it takes flows for.
-    #[serde(default)]
-    pub target: Option<Incarnation>,
+    /// Incarnation of its target that it takes flows for.
+    #[serde(default, rename = "target")]
+    pub incarnation: Option<Incarnation>,
 }
 
 #[derive(Clone, Debug)]
 struct Agent {
     zone: Arc<str>,
     service: Arc<str>,
-    /// The start of its target named in the store.
-    target_start: Option<Incarnation>,
+    /// Incarnation of its target that the store names.
+    incarnation: Option<Incarnation>,
     /// Whether it last reported that no process of its target runs.
     target_ended: bool,
     /// Since when the store has not listed it.
@@ -169,8 +169,8 @@
         match self.agents.get_mut(&a.addr) {
             Some(known) if known.service == a.service => {
                 known.zone = a.zone.clone();
-                if known.target_start != a.target {
-                    known.target_start = a.target.clone();
+                if known.incarnation != a.incarnation {
+                    known.incarnation = a.incarnation.clone();
                     known.target_ended = false;
                 }
                 known.unlisted_since.take().is_some()
@@ -187,7 +187,7 @@
         let agent = Agent {
             zone: a.zone.clone(),
             service: a.service.clone(),
-            target_start: a.target.clone(),
+            incarnation: a.incarnation.clone(),
             target_ended: false,
             unlisted_since: None,
             load: 0,
@@ -349,13 +349,13 @@
             |a: &SocketAddrV4| self.agents[a].accepts_flows(self.suspicion.unable_ttl, now);
         let local = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
         let first = first
-            .or_else(|| preferred(&remaining, flow, |a| accepts(a) && local(a)))
-            .or_else(|| preferred(&remaining, flow, accepts))
-            .or_else(|| preferred(&remaining, flow, |_| true))?;
+            .or_else(|| highest_weight(&remaining, flow, |a| accepts(a) && local(a)))
+            .or_else(|| highest_weight(&remaining, flow, accepts))
+            .or_else(|| highest_weight(&remaining, flow, |_| true))?;
         let other = |a: &SocketAddrV4| *a != first;
         // Never a silent agent: the first may pass the open on to it, which loses it.
-        let second = preferred(&remaining, flow, |a| other(a) && accepts(a))
-            .or_else(|| preferred(&remaining, flow, |a| other(a) && self.is_responsive(*a)));
+        let second = highest_weight(&remaining, flow, |a| other(a) && accepts(a))
+            .or_else(|| highest_weight(&remaining, flow, |a| other(a) && self.is_responsive(*a)));
         Some((first, second))
     }
 
@@ -369,9 +369,9 @@
         flow: Flow,
     ) -> Vec<SocketAddrV4> {
         let local = |a: &SocketAddrV4| self.agents.get(a).is_some_and(|x| &*x.zone == zone);
-        let first = preferred(agents, flow, local);
+        let first = highest_weight(agents, flow, local);
         let mut order = agents.to_vec();
-        order.sort_by_key(|a| (Some(*a) != first, std::cmp::Reverse(flow.preference(*a))));
+        order.sort_by_key(|a| (Some(*a) != first, std::cmp::Reverse(flow.rendezvous_weight(*a))));
         order
     }
 
@@ -382,7 +382,7 @@
         let all: Vec<SocketAddrV4> =
             self.agents_of(service).filter(|a| self.is_responsive(*a)).collect();
         let local = |a: &SocketAddrV4| &*self.agents[a].zone == zone;
-        preferred(&all, flow, local).or_else(|| preferred(&all, flow, |_| true))
+        highest_weight(&all, flow, local).or_else(|| highest_weight(&all, flow, |_| true))
     }
 
     /// When [`Roster::ping_suspects`] must next be called.
@@ -432,11 +432,11 @@
     }
 }
 
-/// The `wanted` agent among `all` with the highest rendezvous hash for `flow`.
-fn preferred(
+/// The `wanted` agent among `all` with the highest rendezvous weight for `flow`.
+fn highest_weight(
     all: &[SocketAddrV4],
     flow: Flow,
     wanted: impl Fn(&SocketAddrV4) -> bool,
 ) -> Option<SocketAddrV4> {
-    all.iter().copied().filter(|a| wanted(a)).max_by_key(|a| flow.preference(*a))
+    all.iter().copied().filter(|a| wanted(a)).max_by_key(|a| flow.rendezvous_weight(*a))
 }
--- a/src/steering/state.rs
+++ b/src/steering/state.rs
@@ -1,4 +1,4 @@
-//! Flow table entries.
+//! What a balancer's flow table stores about a flow.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -30,7 +30,9 @@
         match self {
             Self::Opening(o) => format!("being opened, offered to {:?}", o.offered_to),
             Self::Owned { agent, .. } => format!("held by the target of {agent}"),
-            Self::Searching(s) => format!("owner asked for; unverified: {:?}", s.unverified),
+            Self::Searching(s) => {
+                format!("owner being searched for; unverified: {:?}", s.unverified)
+            }
         }
     }
 
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -24,7 +24,7 @@
                 event = events::REPORT_IGNORED, target_id:% = report.incarnation, report = report.seq,
                 service = report.service, reason:% = reason,
                 current:? = self.target.as_ref().map(|t| t.incarnation().to_string());
-                "report ignored"
+                "report of the target ignored"
             );
             return false;
         }
@@ -83,20 +83,21 @@
         false
     }
 
-    /// Hands over flow ownership before a planned stop: tells another agent that the
-    /// agent at `me` owns its open flows, and tells the owners named in its hints that
+    /// Hands over flow ownership before a planned stop: tells another agent that this
+    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints that
     /// they own theirs. Sends one datagram per flow.
     ///
     /// The next process starts without flow state. If the balancers restart as well,
     /// the hints tell them which agent to try first.
-    pub fn send_owner_hints(&self, me: SocketAddrV4, out: &mut impl Transmit) {
+    pub fn send_owner_hints(&self, own_addr: SocketAddrV4, out: &mut impl Transmit) {
         if !self.policy.hints_enabled || self.target_ended {
             return;
         }
         let open = self.flows.iter().filter(|(_, tracked)| tracked.phase == FlowPhase::Open);
-        let own =
-            open.filter_map(|(f, tracked)| Some((tracked.other_agent.or(self.last_peer)?, f, me)));
-        let named = self.hints.iter().filter(|(_, owner)| **owner != me);
+        let own = open.filter_map(|(f, tracked)| {
+            Some((tracked.other_agent.or(self.last_peer)?, f, own_addr))
+        });
+        let named = self.hints.iter().filter(|(_, owner)| **owner != own_addr);
         let mut all: Vec<_> = own.chain(named.map(|(f, owner)| (*owner, f, *owner))).collect();
         // A fixed order keeps simulations reproducible.
         all.sort_unstable();
@@ -192,9 +193,13 @@
 
     /// When [`FlowTracker::tick`] or a probe is due next.
     #[must_use]
-    pub fn next_due(&self) -> Option<Instant> {
-        let queues =
-            [&self.pending_opens, &self.unanswered_opens, &self.pending_work, &self.closed_flows];
+    pub fn next_deadline(&self) -> Option<Instant> {
+        let queues = [
+            &self.pending_opens,
+            &self.unanswered_opens,
+            &self.pending_requests,
+            &self.closed_flows,
+        ];
         let first = queues.into_iter().filter_map(|q| q.front().map(|(at, _)| *at)).min();
         let probe = self.probe_at.filter(|_| self.may_be_running());
         [first, self.ends_at, probe].into_iter().flatten().min()
@@ -216,7 +221,7 @@
                 self.remove_flow(flow);
             }
         }
-        while let Some(flow) = pop_due(&mut self.pending_work, now) {
+        while let Some(flow) = pop_due(&mut self.pending_requests, now) {
             let since = self.flows.peek(flow).and_then(|tracked| tracked.waiting_since);
             if since.is_some_and(|at| now.duration_since(at) >= self.policy.request_timeout) {
                 self.set_waiting(flow, false, now);
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -72,7 +72,7 @@
     /// When opens without an answer are forgotten.
     unanswered_opens: TimerQueue,
     /// When requests without an answer no longer count as waiting.
-    pending_work: TimerQueue,
+    pending_requests: TimerQueue,
     /// When closed flows are forgotten.
     closed_flows: TimerQueue,
     /// When a target that announced its shutdown counts as ended.
@@ -116,7 +116,7 @@
             full_until: None,
             pending_opens: TimerQueue::default(),
             unanswered_opens: TimerQueue::default(),
-            pending_work: TimerQueue::default(),
+            pending_requests: TimerQueue::default(),
             closed_flows: TimerQueue::default(),
             ends_at: None,
             target_ended: false,
@@ -167,10 +167,10 @@
         self.target.as_ref()
     }
 
-    /// Status report as JSON: the target, the load and, if `flow` is given, the phase
-    /// of that flow.
+    /// The state as JSON for operators: the target, the load and, if `flow` is given,
+    /// the phase of that flow.
     #[must_use]
-    pub fn status_json(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
+    pub fn state_json(&self, flow: Option<Flow>, now: Instant) -> serde_json::Value {
         let target = self.target.as_ref().map(|t| {
             serde_json::json!({
                 "start": t.incarnation().to_string(),
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -82,7 +82,7 @@
         let over = seg.flags.rst || tracked.is_finished();
         if tracked.record_data(seg) {
             self.set_waiting(flow, true, now);
-            self.pending_work.push_back((now + self.policy.request_timeout, flow));
+            self.pending_requests.push_back((now + self.policy.request_timeout, flow));
             self.schedule_probe(self.policy.request_probe_delay, now);
         }
         if over {
--- a/src/tracker/target.rs
+++ b/src/tracker/target.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of earlier incarnations remembered, so that a delayed report of one of
-/// them is not taken for a new start.
+/// them is not taken for one of a new incarnation.
 const MAX_EARLIER: usize = 8;
 
 /// Sequence number of an incarnation's first report.
@@ -24,11 +24,11 @@
 
 /// How long after its last report an incarnation counts as running: two of the
 /// longest pauses between reports (1.2 s). Meanwhile, a report with an earlier start
-/// time is a delayed one; afterwards it may be of a new start on a VM whose clock was
-/// set back, and is accepted.
+/// time is a delayed one; afterwards it may be of a new incarnation on a VM whose clock
+/// was set back, and is accepted.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(2_400);
 
-/// One start of a target. A target may start again under the same identity.
+/// One run of a target's process. Later runs of the target may have the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{id}{}", started_ms.map(|ms| format!("@{ms}")).unwrap_or_default())]
 pub struct Incarnation {
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -47,7 +47,7 @@
     /// Routes without traffic.
     #[arg(long, default_value_t = 0)]
     pub idle_routes: u16,
-    /// From what size on, in KiB, the configuration is handed on in parts.
+    /// From what size on, in KiB, the configuration is published in parts.
     #[arg(long, default_value_t = 256)]
     pub relay_kib: usize,
 }
--- a/src/trial/router.rs
+++ b/src/trial/router.rs
@@ -66,7 +66,7 @@
                 let n = u64::try_from(ready.len()).ok().filter(|n| *n > 0)?;
                 ready.get(usize::try_from(flow.hash64() % n).ok()?).copied()
             }
-            Hash::Steady => ready.into_iter().max_by_key(|b| flow.preference(*b)),
+            Hash::Steady => ready.into_iter().max_by_key(|b| flow.rendezvous_weight(*b)),
         }
     }
 
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -132,7 +132,7 @@
         "packets": "10.1.0.12:8172", "store": "10.200.1.7:8169",
         "seeds": ["10.1.0.12:8166", "10.2.0.40:8166"], "bounds": { "grace_s": 6, "flow_s": 60 } }"#;
     let s = Settings::parse(good).unwrap();
-    assert_eq!(s.bus_addr(), "10.1.0.12:7720".parse().unwrap());
+    assert_eq!(s.message_addr(), "10.1.0.12:7720".parse().unwrap());
     assert_eq!(s.peer_addrs(), ["10.2.0.40:7720".parse().unwrap()], "not itself");
     for (from, to, field) in [
         ("[7720, 7735]", "[7735, 7720]", "ports"),
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -221,17 +221,17 @@
 }
 
 pub fn routes(version: u64) -> Routes {
-    let share = WeightedService { service: SERVICE.into(), weight: 1, max_flows: 2_000 };
+    let weighted = WeightedService { service: SERVICE.into(), weight: 1, max_flows: 2_000 };
     let route = Route {
         name: "r".into(),
-        services: vec![share],
+        services: vec![weighted],
         request_timeout: Duration::from_millis(3_000),
     };
     Routes { version, by_address: [(vip(), route)].into(), idle_timeout: Duration::from_secs(15) }
 }
 
 pub fn announced(n: u8) -> ListedAgent {
-    ListedAgent { addr: agent(n), zone: ZONE.into(), service: SERVICE.into(), target: None }
+    ListedAgent { addr: agent(n), zone: ZONE.into(), service: SERVICE.into(), incarnation: None }
 }
 
 /// An agent whose target it saw start.
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -289,7 +289,8 @@
         tick(&mut s, now);
         other(6, said, &mut s, 1, now);
         if reborn {
-            let next = |a| jujubepost::steering::ListedAgent { target: Some("i-2".into()), ..a };
+            let next =
+                |a| jujubepost::steering::ListedAgent { incarnation: Some("i-2".into()), ..a };
             let listed: Vec<_> = (1..=6).map(announced).map(next).collect();
             s.roster.update(&listed, now);
         }
