--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -1,6 +1,6 @@
 //! HTTP endpoints for operators, on the metrics port: `/metrics` in the Prometheus
 //! text format, and `/beliefs`, the process's state as JSON. With
-//! `?flow=CALLER>SERVICE` it includes where that flow goes and why.
+//! `?flow=CALLER>VIP` it includes the state of that flow.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -14,15 +14,15 @@
 mod snapshot;
 mod socket;
 
-pub use settings::{Settings, TimeLimits};
-pub use snapshot::SnapshotReader;
-
 use std::path::Path;
 use std::time::Duration;
 
 use anyhow::Context;
 use tokio::signal::unix::{SignalKind, signal};
 
+pub use settings::{Settings, TimeLimits};
+pub use snapshot::SnapshotReader;
+
 use crate::listen::Server;
 use crate::{events, metrics, platform};
 
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -18,8 +18,8 @@
 /// attempts within the time of a planned stop.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Timeout of the read at the agent's start. A larger value keeps the target's
-/// callers waiting for longer while the store is unreachable.
+/// Timeout of the read at the agent's start. A larger value delays the target's flows
+/// for longer while the store is unreachable.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Keeps the registration in the store until dropped, from the target's first report
@@ -43,7 +43,7 @@
 
 /// Deletes the registration of an agent whose target has ended, retrying for up to
 /// `time_limit`. A registration that stays until its lease expires makes balancers
-/// that start meanwhile wait for this agent before they give up a flow.
+/// that start meanwhile wait for this agent before they reset a lost flow.
 pub(super) async fn deregister(store: &platform::kv::Client, key: &str, time_limit: Duration) {
     let removed = tokio::time::timeout(time_limit, async {
         while let Err(e) = store.delete(key).await {
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -36,8 +36,8 @@
             let (incarnation, state, seq) = (r.incarnation.clone(), r.state, r.seq);
             if tracker.handle_report(r, now) {
                 log::info!(
-                    event = events::EDGE_TARGET, target_id:% = incarnation, state:% = state, report = seq,
-                    flows = tracker.flow_count();
+                    event = events::EDGE_TARGET, target_id:% = incarnation, state:% = state,
+                    report = seq, flows = tracker.flow_count();
                     "target reported a new state"
                 );
                 registration.set_incarnation(incarnation);
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -66,7 +66,7 @@
 pub struct TimeLimits {
     /// Grace period of a planned stop, in seconds.
     pub grace_s: f64,
-    /// Longest lifetime of a flow, in seconds. A flow without packets is forgotten
+    /// Longest lifetime of a flow, in seconds. A flow without packets is removed
     /// after this time.
     pub flow_s: f64,
 }
@@ -162,7 +162,7 @@
         others.map(|ip| SocketAddr::new(ip, self.ports.0)).collect()
     }
 
-    /// How long a flow without packets is remembered.
+    /// Time without packets after which a flow is removed.
     #[must_use]
     pub fn flow_lifetime(&self) -> Duration {
         Duration::from_secs_f64(self.limits.flow_s)
--- a/src/policy/agent.rs
+++ b/src/policy/agent.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AgentPolicy {
-    /// How long an open without an answer of the target is remembered. Beyond the
+    /// How long an open without an answer of the target is tracked. Beyond the
     /// caller's connect timeout, a larger value has no effect.
     #[serde(rename = "open_kept", with = "millis")]
     pub open_ttl: Duration,
@@ -34,7 +34,7 @@
     /// How long a target that returned an open is offered none.
     #[serde(rename = "full", with = "millis")]
     pub full_pause: Duration,
-    /// How long a closed flow is remembered, as in TCP's `TIME_WAIT`, so that late
+    /// How long a closed flow is tracked, as in TCP's `TIME_WAIT`, so that late
     /// retransmissions still reach its target.
     #[serde(rename = "closed", with = "millis")]
     pub closed_ttl: Duration,
@@ -42,9 +42,9 @@
     /// flows, to send its last packets.
     #[serde(rename = "ending", with = "millis")]
     pub shutdown_grace: Duration,
-    /// How long a newly listed agent takes no flow after its target's first report.
-    /// It should exceed the time in which every balancer reads the listing: one that
-    /// does not know the agent would reset the agent's flows as lost.
+    /// How long a newly listed agent accepts no flow after its target's first report.
+    /// It should exceed the time in which every balancer reads the registration: one
+    /// that does not know the agent would reset the agent's flows as lost.
     #[serde(rename = "seen", with = "millis")]
     pub announce_delay: Duration,
     /// Silence of the target after an open before its port is probed.
@@ -54,7 +54,7 @@
     /// exceed the duration of a request.
     #[serde(rename = "silent_work", with = "millis")]
     pub request_probe_delay: Duration,
-    /// Whether the agent remembers which agent it passed an open to, and names it
+    /// Whether the agent stores which agent it passed an open on to, and names it
     /// when it is queried for the flow's owner.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -27,7 +27,7 @@
     /// Upper bound of the response timeout, backoff included.
     #[serde(rename = "slowest", with = "millis")]
     pub max_timeout: Duration,
-    /// Delay before the next round of offers of an open that no agent took.
+    /// Delay before the next round of offers of an open that no agent accepted.
     #[serde(rename = "round", with = "millis")]
     pub retry_delay: Duration,
     /// Upper bound of that delay, which doubles with each round. Equal to
@@ -73,7 +73,7 @@
     /// Bytes buffered for all flows together.
     #[serde(rename = "kept_bytes")]
     pub buffer_bytes: usize,
-    /// Whether a flow's home agent is told which other agent owns the flow.
+    /// Whether a flow's home agent is notified which other agent owns the flow.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
     /// Targets that a packet of a flow without a known owner is tried at first. Where
@@ -132,7 +132,7 @@
 
 impl BalancerPolicy {
     /// Lowers the query and ping rates to what a VM with a link of `mbps` Mbit/s and
-    /// `cpu` cores can spare beside its callers' traffic.
+    /// `cpu` cores can send beside its callers' traffic.
     #[must_use]
     pub fn scaled_to_vm(mut self, mbps: f64, cpu: f64) -> Self {
         let link = mbps * 125_000.0 * QUERY_LINK_SHARE / QUERY_BYTES;
@@ -207,12 +207,12 @@
     /// time of a planned restart.
     #[serde(alias = "gone", with = "millis")]
     pub dead_after: Duration,
-    /// How long an agent's report that it can take no flow counts; afterwards it is
+    /// How long an agent's report that it cannot accept flows is valid; afterwards it is
     /// offered flows again.
     #[serde(rename = "unable", with = "millis")]
     pub unable_ttl: Duration,
-    /// A missed answer does not make an agent silent if it was heard from within this
-    /// time.
+    /// An agent that sent a message within this time does not count as silent when an
+    /// answer is missing.
     #[serde(rename = "heard", with = "millis")]
     pub silence_grace: Duration,
 }
--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -13,7 +13,7 @@
     /// Agents are queried for a flow's owner in waves instead of all at once.
     #[display("waves")]
     Waves,
-    /// A flow's home agent is told which agent owns the flow.
+    /// A flow's home agent is notified which agent owns the flow.
     #[display("hints")]
     Hints,
     /// Queries to agents are rate-limited.
@@ -57,7 +57,7 @@
     #[display("short-open-wait")]
     #[value(name = "short-open-wait")]
     HandshakeTimeout,
-    /// A new agent takes no flow until every balancer can have read its listing.
+    /// A new agent accepts no flow until every balancer can have read its registration.
     #[display("newcomer-wait")]
     #[value(name = "newcomer-wait")]
     AnnounceDelay,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,12 +9,12 @@
 mod mechanism;
 mod millis;
 
+use serde::{Deserialize, Serialize};
+
 pub use agent::AgentPolicy;
 pub use balancer::{BalancerPolicy, SuspicionPolicy};
 pub use mechanism::Mechanism;
 
-use serde::{Deserialize, Serialize};
-
 /// Settings of both roles.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -90,7 +90,7 @@
     pub aged: bool,
     /// Agents that it is offered to.
     pub offer: Offer,
-    /// Balancer that is told the outcome.
+    /// Balancer that is sent the outcome.
     #[serde(rename = "reply")]
     pub reply_to: SocketAddrV4,
 }
@@ -160,15 +160,15 @@
     Held,
     /// The target does not hold the flow.
     Unknown,
-    /// The agent has not seen the flow but started after its target, which may hold
-    /// it.
+    /// The agent does not track the flow, but it started after its target, which may
+    /// hold it.
     Unverified,
     /// The flow was refused by the agents it was offered to. The target received
     /// nothing of it.
     Refused(Refusal),
     /// The target returned a packet of the flow, so it does not hold it.
     NotOwner,
-    /// No process of the target runs. It holds no flow, and takes none until the
+    /// No process of the target runs. It holds no flow, and accepts none until the
     /// store can list its next incarnation.
     #[serde(rename = "Ended")]
     TargetEnded,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -6,13 +6,13 @@
 
 pub mod parts;
 
-pub use parts::{Index, PART_COUNT, Part};
-
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
 use anyhow::Context;
 
+pub use parts::{Index, PART_COUNT, Part};
+
 use crate::steering::Routes;
 use crate::store::{Kv, Snapshot};
 
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Marks the agents that have not answered as silent and goes on with the search.
+    /// Marks the agents that have not answered as silent and continues the search.
     pub(super) fn handle_wave_timeout(
         &mut self,
         flow: Flow,
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -292,7 +292,8 @@
         serde_json::json!({
             "version": self.config_version(),
             "ready": self.is_ready(),
-            "store_answers_ms": self.store_reachable_since.map(|at| now.duration_since(at).as_millis()),
+            "store_answers_ms":
+                self.store_reachable_since.map(|at| now.duration_since(at).as_millis()),
             "flows_remembered": self.flows.len(),
             "agents": self.roster.state_json(now),
             "flow": flow.map(|f| self.explain_flow(f, now)),
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -1,5 +1,5 @@
 //! Outcome of an owner search that found no owner: resets the flow if it is lost, or
-//! tries its last packet at targets whose agents may have forgotten it.
+//! tries its last packet at targets that may hold it without their agents' knowledge.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -68,7 +68,7 @@
     }
 
     /// Tries the last packet at the target of the agent named as the owner, if that
-    /// agent may have forgotten the flow, without waiting for other answers.
+    /// agent could not verify the flow, without waiting for other answers.
     pub(super) fn try_named_owner(&mut self, flow: Flow, out: &mut impl Transmit) {
         let limit = self.policy.max_trials;
         let Some(FlowState::Searching(s)) = self.flows.peek_mut(flow) else { return };
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tries the last packet at targets whose agents may have forgotten the flow: first
+    /// Tries the last packet at targets whose agents could not verify the flow: first
     /// the `max_trials` to which the open was most likely offered. Once these rejected
     /// it, tries all others if the owner must be among them, which holds if every agent
     /// of the service answered or left and the roster is complete.
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -28,7 +28,7 @@
     pub zone: Arc<str>,
     /// Service of its target.
     pub service: Arc<str>,
-    /// Incarnation of its target that it takes flows for.
+    /// Incarnation of its target that it accepts flows for.
     #[serde(default, rename = "target")]
     pub incarnation: Option<Incarnation>,
 }
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether it answers and did not report within `unable_ttl` that it can take no
-    /// flow.
+    /// Whether it answers and did not report within `unable_ttl` that it cannot accept
+    /// flows.
     fn accepts_flows(&self, unable_ttl: Duration, now: Instant) -> bool {
         let unable = self.load == UNABLE && now.duration_since(self.last_heard) < unable_ttl;
         self.silent_since.is_none() && !unable
@@ -287,7 +287,7 @@
             a.last_heard = now;
             a.silent_since = None;
             a.ping_pending = false;
-            // An agent that can take flows has a running target.
+            // An agent that can accept flows has a running target.
             a.target_ended &= load == UNABLE;
         }
     }
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -36,7 +36,7 @@
     pub pending: Vec<SocketAddrV4>,
     /// Queried agents that did not answer in time.
     pub(super) silent: Vec<SocketAddrV4>,
-    /// Agents that may have forgotten the flow ([`FlowStatus::Unverified`]).
+    /// Agents that answered [`FlowStatus::Unverified`]: their targets may hold the flow.
     pub unverified: Vec<SocketAddrV4>,
     /// Agents at whose targets the flow was tried, by any balancer.
     pub tried: Vec<SocketAddrV4>,
--- a/src/steering/state.rs
+++ b/src/steering/state.rs
@@ -10,7 +10,7 @@
 /// State of a flow.
 #[derive(Debug)]
 pub enum FlowState {
-    /// No agent has taken its open yet.
+    /// No agent has accepted its open yet.
     Opening(PendingOpen),
     /// The target of a known agent holds it.
     Owned {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An open that no agent has taken yet.
+/// An open that no agent has accepted yet.
 #[derive(Debug)]
 pub struct PendingOpen {
     /// When the first SYN arrived.
@@ -73,7 +73,7 @@
     pub deadline: Instant,
     /// The round is over; the next one starts at `deadline`.
     pub in_backoff: bool,
-    /// Some agents did not answer or may take the open later, so that refusals by the
+    /// Some agents did not answer or may accept the open later, so that refusals by the
     /// others are not final.
     pub inconclusive: bool,
 }
--- a/src/token_bucket/mod.rs
+++ b/src/token_bucket/mod.rs
@@ -8,7 +8,7 @@
 /// Longest wait returned, in seconds.
 const MAX_WAIT_S: f64 = 60.0;
 
-/// Shortest wait returned, so that a caller does not spin.
+/// Shortest wait returned, so that the code that waits does not busy-loop.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// A token bucket; the caller passes the refill rate and the clock.
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -21,8 +21,8 @@
         if let Some(reason) = self.ignore_reason(&report, now) {
             metrics::dropped(reason);
             log::warn!(
-                event = events::REPORT_IGNORED, target_id:% = report.incarnation, report = report.seq,
-                service = report.service, reason:% = reason,
+                event = events::REPORT_IGNORED, target_id:% = report.incarnation,
+                report = report.seq, service = report.service, reason:% = reason,
                 current:? = self.target.as_ref().map(|t| t.incarnation().to_string());
                 "report of the target ignored"
             );
@@ -40,7 +40,7 @@
                 self.ends_at = None;
                 if std::mem::take(&mut self.end_announced) {
                     // Until the store lists this incarnation, balancers that know of the
-                    // end take a silent agent's flows as lost.
+                    // end treat a silent agent's flows as lost.
                     self.newly_listed = true;
                     self.first_report = Some(now);
                 }
@@ -84,11 +84,11 @@
     }
 
     /// Hands over flow ownership before a planned stop: tells another agent that this
-    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints that
-    /// they own theirs. Sends one datagram per flow.
+    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints
+    /// that they own theirs. Sends one datagram per flow.
     ///
     /// The next process starts without flow state. If the balancers restart as well,
-    /// the hints tell them which agent to try first.
+    /// they learn from the hints which agent to try first.
     pub fn send_owner_hints(&self, own_addr: SocketAddrV4, out: &mut impl Transmit) {
         if !self.policy.hints_enabled || self.target_ended {
             return;
@@ -137,7 +137,7 @@
     }
 
     /// Records that the target's process has ended, and resets its flows. The next
-    /// incarnation is known by its report.
+    /// incarnation is detected by its report.
     pub fn mark_target_ended(&mut self, out: &mut impl Transmit) {
         if let Some(t) = &mut self.target {
             t.mark_ended();
--- a/src/tracker/load.rs
+++ b/src/tracker/load.rs
@@ -1,7 +1,7 @@
 //! Estimate of the load that one open flow puts on its target.
 //!
 //! A long-lived flow is placed once but sends requests as long as it lasts, so the
-//! number of requests waiting now does not tell what it adds. The estimate is the
+//! current number of waiting requests does not show what it adds. The estimate is the
 //! exponentially weighted mean of waiting requests per open flow.
 
 use std::time::{Duration, Instant};
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -69,11 +69,11 @@
     full_until: Option<Instant>,
     /// When flows that are not established no longer count as waiting.
     pending_opens: TimerQueue,
-    /// When opens without an answer are forgotten.
+    /// When opens without an answer are removed.
     unanswered_opens: TimerQueue,
     /// When requests without an answer no longer count as waiting.
     pending_requests: TimerQueue,
-    /// When closed flows are forgotten.
+    /// When closed flows are removed.
     closed_flows: TimerQueue,
     /// When a target that announced its shutdown counts as ended.
     ends_at: Option<Instant>,
@@ -82,12 +82,12 @@
     target_ended: bool,
     stopping: bool,
     /// Whether the target sent on a flow that this process did not see open, which
-    /// shows that a previous process took flows for the current incarnation.
+    /// shows that a previous process accepted flows for the current incarnation.
     inherited: bool,
     /// Whether balancers may not know yet that the agent accepts flows: the store did
     /// not list it before, or it announced that its target ended.
     newly_listed: bool,
-    /// Whether the agent has told a balancer that its target ended.
+    /// Whether the agent has notified a balancer that its target ended.
     end_announced: bool,
     /// When the target's first report arrived; set anew by the first report after an
     /// announced end.
@@ -136,7 +136,7 @@
         self
     }
 
-    /// Sets the incarnation that the previous process of the agent took flows for, if
+    /// Sets the incarnation that the previous process of the agent accepted flows for, if
     /// it is known. This process receives the target's reports from `now` on.
     pub fn set_predecessor(&mut self, incarnation: Option<Incarnation>, now: Instant) {
         self.predecessor =
--- a/src/tracker/target.rs
+++ b/src/tracker/target.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Number of earlier incarnations remembered, so that a delayed report of one of
+/// Number of earlier incarnations stored, so that a delayed report of one of
 /// them is not taken for one of a new incarnation.
 const MAX_EARLIER: usize = 8;
 
@@ -50,15 +50,15 @@
 /// The previous process of an agent, as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// Incarnation of the target that the process last took flows for.
+    /// Incarnation of the target that the process last accepted flows for.
     pub incarnation: Incarnation,
     /// When the current process started to receive the target's reports.
     pub replaced_at: Instant,
 }
 
 impl Predecessor {
-    /// Whether `report` shows that the process took no flows for the incarnation that
-    /// sent it.
+    /// Whether `report` shows that the process accepted no flows for the incarnation
+    /// that sent it.
     ///
     /// A different incarnation in the store is not enough: the process may have
     /// served this one while the store was unavailable. In that case it answered the
--- a/src/tracker/tracked_flow.rs
+++ b/src/tracker/tracked_flow.rs
@@ -48,7 +48,7 @@
     pub target_answered: bool,
     /// Sequence number after the last data byte received from the caller.
     pub caller_end: Option<u32>,
-    /// Since when the target owes an answer.
+    /// Since when the caller waits for an answer of the target.
     pub waiting_since: Option<Instant>,
     /// Whether the caller has finished sending.
     pub caller_done: bool,
