--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,5 +1,5 @@
 //! The balancer's view of a fleet on the platform: time to read the store's
-//! keys at first, after one agent's entry changed and after the configuration
+//! keys at first, after one agent's registration changed and after the configuration
 //! changed, in full and in parts, and the memory that the copy and the view
 //! take.
 //!
@@ -26,13 +26,13 @@
 
 fn agent(n: u32, routes: u32, rev: i64) -> Kv {
     let ip = std::net::Ipv4Addr::from(0x0a01_0000 + n);
-    let entry = ListedAgent {
+    let registration = ListedAgent {
         addr: std::net::SocketAddrV4::new(ip, 7_720),
         zone: format!("zone-{}", n % 9).into(),
         service: format!("service-{}", n % routes).into(),
         incarnation: Some(format!("i-{n:08x}-{rev}").as_str().into()),
     };
-    let value = serde_json::to_vec(&entry).unwrap();
+    let value = serde_json::to_vec(&registration).unwrap();
     Kv { key: format!("jujubepost/agents/{ip}").into(), value, rev, lease: 1 }
 }
 
@@ -61,7 +61,7 @@
 fn in_parts(config: &Kv) -> (usize, usize, Duration) {
     let relay = Relay::new(config::CONFIG_KEY, "zone-1", [10, 9, 0, 1].into(), 1);
     let mut routes = config::decode(&config.value).unwrap();
-    let mut steer = steer();
+    let mut steering = new_steering();
     let mut reader = SnapshotReader::default();
     let mut copy = Snapshot::default();
     copy.apply(1, vec![Change::Put(config.clone())]);
@@ -77,12 +77,12 @@
             .into_iter()
             .map(|(key, value)| Change::Put(Kv { key: key.into(), value, rev, lease: 0 }));
         copy.apply(rev, put.collect());
-        last = (keys, bytes, time(|| reader.apply_snapshot(&mut steer, &copy)));
+        last = (keys, bytes, time(|| reader.apply_snapshot(&mut steering, &copy)));
     }
     last
 }
 
-fn steer() -> FlowSteering {
+fn new_steering() -> FlowSteering {
     FlowSteering::new("10.9.0.1:7720".parse().unwrap(), "zone-1".into(), Duration::from_secs(60))
 }
 
@@ -104,9 +104,9 @@
         let bytes = first.value.len() / 1_024;
         copy.apply(1, vec![Change::Put(first)]);
         copy.apply(2, (0..agents).map(|n| Change::Put(agent(n, routes, 2))).collect());
-        let mut steer = steer();
+        let mut steering = new_steering();
         let mut reader = SnapshotReader::default();
-        let at_first = time(|| reader.apply_snapshot(&mut steer, &copy));
+        let at_first = time(|| reader.apply_snapshot(&mut steering, &copy));
         let mut kept = Arc::new(copy.clone());
         let taken = rss_kib().saturating_sub(before);
         let mut rev = 2;
@@ -114,11 +114,12 @@
             rev = change.rev;
             copy.apply(rev, vec![Change::Put(change)]);
             time(|| {
-                reader.apply_snapshot(&mut steer, &copy);
+                reader.apply_snapshot(&mut steering, &copy);
                 kept = Arc::new(copy.clone());
             })
         };
-        let entry: Duration = (3..13).map(|r| changed(agent(7, routes, r))).sum::<Duration>() / 10;
+        let registration: Duration =
+            (3..13).map(|r| changed(agent(7, routes, r))).sum::<Duration>() / 10;
         let config: Duration =
             (13..18).map(|r| changed(configuration(routes, r))).sum::<Duration>() / 5;
         let (keys, changed, read) = in_parts(&configuration(routes, 1));
@@ -126,7 +127,7 @@
             "{agents:6}  {routes:6}  {:8.1}  {:12.1}  {:20.1}  {bytes:10}  {taken:6}  {keys:10}  \
              {:9.1}  {:8.2}",
             at_first.as_secs_f64() * 1e3,
-            entry.as_secs_f64() * 1e3,
+            registration.as_secs_f64() * 1e3,
             config.as_secs_f64() * 1e3,
             changed as f64 / 1_024.0,
             read.as_secs_f64() * 1e3,
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -85,7 +85,7 @@
         None => None,
     };
     let steering =
-        FlowSteering::new(settings.message_addr(), settings.zone.clone(), settings.flow_lifetime())
+        FlowSteering::new(settings.message_addr(), settings.zone.clone(), settings.idle_timeout())
             .with_policy(settings.balancer_policy());
     let steering = Rc::new(RefCell::new(steering));
     let inspect_server = inspect::serve(&settings, steering.clone()).await?;
@@ -143,7 +143,7 @@
     let relaying = relay::run(source.store.clone(), relay.clone(), steering.clone(), latest);
     let (steering, board) = (steering.clone(), board.clone());
     Ok(tokio::task::spawn_local(async move {
-        let mut lost = false;
+        let mut store_lost = false;
         let mut reader = SnapshotReader::default();
         let narrow_prefix = |snapshot: &Snapshot| {
             let prefix = relay.narrow_prefix(snapshot, steering.borrow().config_version());
@@ -160,17 +160,17 @@
             }
             MirrorEvent::Recovered => {
                 steering.borrow_mut().set_store_reachable(true, Instant::now());
-                log::info!(event = events::EDGE_STORE, after_loss = lost; "store is reachable");
-                lost = false;
+                log::info!(event = events::EDGE_STORE, after_loss = store_lost; "store is reachable");
+                store_lost = false;
             }
-            MirrorEvent::StoreFailed(e) if !lost => {
+            MirrorEvent::StoreFailed(e) if !store_lost => {
                 steering.borrow_mut().set_store_reachable(false, Instant::now());
                 log::warn!(
                     event = events::EDGE_STORE, error:% = format!("{e:#}");
                     "store call failed; keeping the last snapshot and retrying"
                 );
                 snapshots.send_replace(None);
-                lost = true;
+                store_lost = true;
             }
             MirrorEvent::StoreFailed(_) => {}
         });
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -97,42 +97,45 @@
 }
 
 /// Reads the registration that a previous process of this agent left.
-pub(super) async fn read_previous(store: &platform::kv::Client, key: &str) -> Previous {
+pub(super) async fn read_previous_registration(
+    store: &platform::kv::Client,
+    key: &str,
+) -> PreviousRegistration {
     let read = tokio::time::timeout(READ_TIMEOUT, store.get(key)).await;
     let kv = match read {
         Ok(Ok(Some(kv))) => kv,
-        Ok(Ok(None)) => return Previous::Absent,
+        Ok(Ok(None)) => return PreviousRegistration::Absent,
         Ok(Err(e)) => {
             log::warn!(
                 event = events::EDGE_STORE, error:% = format!("{e:#}");
                 "reading the previous registration failed; starting without it"
             );
-            return Previous::Unknown;
+            return PreviousRegistration::Unknown;
         }
         Err(_) => {
             log::warn!(
                 event = events::EDGE_STORE, key = key;
                 "reading the previous registration timed out; starting without it"
             );
-            return Previous::Unknown;
+            return PreviousRegistration::Unknown;
         }
     };
     match serde_json::from_slice::<ListedAgent>(&kv.value) {
-        Ok(record) => Previous::Present(record.incarnation),
+        Ok(record) => PreviousRegistration::Present(record.incarnation),
         Err(e) => {
             metrics::dropped("entry_unreadable");
             log::error!(
                 event = events::EDGE_STORE, key = key, error:% = e;
                 "previous registration cannot be decoded; starting without it"
             );
-            Previous::Unknown
+            PreviousRegistration::Unknown
         }
     }
 }
 
 /// The registration of a previous process of this agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Previous {
+pub(super) enum PreviousRegistration {
     /// It could not be read or decoded.
     Unknown,
     /// There is none.
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -162,9 +162,9 @@
         others.map(|ip| SocketAddr::new(ip, self.ports.0)).collect()
     }
 
-    /// Time without packets after which a flow is removed.
+    /// Time without packets after which a flow is removed from the tables.
     #[must_use]
-    pub fn flow_lifetime(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.limits.flow_s)
     }
 
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -14,7 +14,9 @@
 
 use super::inspect::{self, Inspect};
 use super::port::{self, PortState};
-use super::registration::{Previous, Registration, deregister, hold_registration, read_previous};
+use super::registration::{
+    PreviousRegistration, Registration, deregister, hold_registration, read_previous_registration,
+};
 use super::socket::Socket;
 use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
 use crate::flow::Flow;
@@ -105,7 +107,7 @@
     let settings = Settings::load(path)?;
     let service = settings.service.clone().with_context(missing_field("service"))?;
     let sockets = Sockets::bind(&settings).await?;
-    let tracker = FlowTracker::new(service.clone(), settings.flow_lifetime())
+    let tracker = FlowTracker::new(service.clone(), settings.idle_timeout())
         .with_policy(settings.policy.agent.clone());
     let tracker = Rc::new(RefCell::new(tracker));
     let inspect_server = inspect::serve(&settings, tracker.clone()).await?;
@@ -116,10 +118,12 @@
     );
     let store = connect_store(&settings).await?;
     let key = format!("{AGENT_PREFIX}{}", settings.ip);
-    match read_previous(&store, &key).await {
-        Previous::Unknown => {}
-        Previous::Absent => tracker.borrow_mut().mark_new(),
-        Previous::Present(target) => tracker.borrow_mut().set_predecessor(target, Instant::now()),
+    match read_previous_registration(&store, &key).await {
+        PreviousRegistration::Unknown => {}
+        PreviousRegistration::Absent => tracker.borrow_mut().mark_new(),
+        PreviousRegistration::Present(incarnation) => {
+            tracker.borrow_mut().set_predecessor(incarnation, Instant::now())
+        }
     }
     let record = ListedAgent {
         addr: settings.message_addr(),
@@ -137,9 +141,9 @@
         Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
         None => None,
     };
-    let holding =
+    let registration_loop =
         hold_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
-    let registrar = tokio::task::spawn_local(holding);
+    let registration_task = tokio::task::spawn_local(registration_loop);
     super::run_until_stopped(path, forward(&sockets, &tracker, &registration)).await?;
     let ended = check_target_ended(&sockets, &tracker).await;
     log::info!(
@@ -147,8 +151,8 @@
         waiting = tracker.borrow().waiting_count(), target_ended = ended;
         "agent is stopping"
     );
-    registrar.abort();
-    let _ = registrar.await;
+    registration_task.abort();
+    let _ = registration_task.await;
     tracker.borrow_mut().stop_accepting();
     let stop_limit = settings.stop_grace().mul_f64(STOP_FRACTION);
     let stopping = async {
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -78,15 +78,15 @@
 
 impl FlowSteering {
     /// Steering of a balancer in `zone`. Agents reply to `own_addr`; a flow without
-    /// packets for `flow_ttl` is removed from the table.
+    /// packets for `idle_timeout` is removed from the table.
     #[must_use]
-    pub fn new(own_addr: SocketAddrV4, zone: Arc<str>, flow_ttl: Duration) -> Self {
+    pub fn new(own_addr: SocketAddrV4, zone: Arc<str>, idle_timeout: Duration) -> Self {
         Self {
             own_addr,
             zone,
             routes: None,
             roster: Roster::default(),
-            flows: FlowTable::new(flow_ttl),
+            flows: FlowTable::new(idle_timeout),
             deadlines: DeadlineQueue::default(),
             policy: BalancerPolicy::default(),
             queries: QueryQueue::new(0.0, 0.0),
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -123,7 +123,7 @@
         };
         self.flows.insert(flow, tracked, now);
         self.set_waiting(flow, true, now);
-        self.pending_opens.push_back((now + self.policy.handshake_timeout, flow));
+        self.pending_handshakes.push_back((now + self.policy.handshake_timeout, flow));
         self.unanswered_opens.push_back((now + self.policy.open_ttl, flow));
         self.schedule_probe(self.policy.open_probe_delay, now);
         out.send_to_target(received.packet);
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -195,7 +195,7 @@
     #[must_use]
     pub fn next_deadline(&self) -> Option<Instant> {
         let queues = [
-            &self.pending_opens,
+            &self.pending_handshakes,
             &self.unanswered_opens,
             &self.pending_requests,
             &self.closed_flows,
@@ -207,7 +207,7 @@
 
     /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
-        while let Some(flow) = pop_due(&mut self.pending_opens, now) {
+        while let Some(flow) = pop_due(&mut self.pending_handshakes, now) {
             let phase = self.flows.peek(flow).map(|tracked| tracked.phase);
             if matches!(phase, Some(FlowPhase::Opening { .. } | FlowPhase::Answered(_))) {
                 self.set_waiting(flow, false, now);
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -68,7 +68,7 @@
     /// Until when the target counts as full, after it returned an open.
     full_until: Option<Instant>,
     /// When flows that are not established no longer count as waiting.
-    pending_opens: TimerQueue,
+    pending_handshakes: TimerQueue,
     /// When opens without an answer are removed.
     unanswered_opens: TimerQueue,
     /// When requests without an answer no longer count as waiting.
@@ -114,7 +114,7 @@
             waiting: 0,
             flow_load: LoadEstimate::default(),
             full_until: None,
-            pending_opens: TimerQueue::default(),
+            pending_handshakes: TimerQueue::default(),
             unanswered_opens: TimerQueue::default(),
             pending_requests: TimerQueue::default(),
             closed_flows: TimerQueue::default(),
