--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -202,7 +202,7 @@
     .await
 }
 
-/// Forwards packets until the future is dropped.
+/// Forwards packets, handles messages and runs timers until the future is dropped.
 async fn forward(
     sockets: &Sockets,
     steering: &RefCell<FlowSteering>,
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -269,7 +269,7 @@
     });
 }
 
-/// Forwards packets until the future is dropped.
+/// Forwards packets, handles messages and runs timers until the future is dropped.
 async fn forward(sockets: &Sockets, tracker: &RefCell<FlowTracker>, registration: &Registration) {
     let mut buf = vec![0; RECV_BUFFER_BYTES];
     let mut scratch = Vec::with_capacity(protocol::MAX_DATAGRAM_BYTES);
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -13,7 +13,7 @@
 /// Share of a VM's link bandwidth that queries may use.
 const QUERY_LINK_SHARE: f64 = 0.1;
 
-/// Queries a second that one whole core may spend its time on.
+/// Queries a second that a VM with one whole CPU core may send.
 const CORE_QUERY_RATE: f64 = 8_000.0;
 
 /// Settings of a balancer. Durations are in milliseconds in the settings file.
--- a/src/tracker/target.rs
+++ b/src/tracker/target.rs
@@ -7,14 +7,14 @@
 
 /// Number of earlier incarnations stored, so that a delayed report of one of
 /// them is not taken for one of a new incarnation.
-const MAX_EARLIER: usize = 8;
+const MAX_EARLIER_INCARNATIONS: usize = 8;
 
 /// Sequence number of an incarnation's first report.
-const FIRST_REPORT: u64 = 1;
+const FIRST_REPORT_SEQ: u64 = 1;
 
 /// Highest sequence number of an early report: one that a target sends while its
 /// first reports go unanswered and are retried about every 0.1 s.
-const MAX_EARLY_REPORT: u64 = 4;
+const MAX_EARLY_REPORT_SEQ: u64 = 4;
 
 /// How long after an agent's start an early report counts as the retry of an
 /// unanswered one. A target that was answered reports about once a second, so a
@@ -65,7 +65,7 @@
     /// target's reports, and the next one is not a retry.
     fn missed_start(&self, report: &Report, now: Instant) -> bool {
         let retried = now.saturating_duration_since(self.replaced_at) <= EARLY_REPORT_WINDOW;
-        self.incarnation != report.incarnation && report.seq <= MAX_EARLY_REPORT && retried
+        self.incarnation != report.incarnation && report.seq <= MAX_EARLY_REPORT_SEQ && retried
     }
 }
 
@@ -143,10 +143,10 @@
         now: Instant,
     ) -> Self {
         let missed = predecessor.is_some_and(|p| p.missed_start(report, now));
-        let seen = previous.is_some() || report.seq <= FIRST_REPORT;
+        let seen = previous.is_some() || report.seq <= FIRST_REPORT_SEQ;
         let mut earlier = previous.map(|t| t.earlier.clone()).unwrap_or_default();
         earlier.extend(previous.map(|t| t.incarnation.clone()));
-        let excess = earlier.len().saturating_sub(MAX_EARLIER);
+        let excess = earlier.len().saturating_sub(MAX_EARLIER_INCARNATIONS);
         earlier.drain(..excess);
         Self {
             incarnation: report.incarnation.clone(),
