--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -76,7 +76,7 @@
         log::info!(
             event = events::OWNER_ASKED, flow:% = flow, agents = search.agent_count,
             version = self.config_version();
-            "querying agents for a flow's owner"
+            "agents asked for a flow's owner"
         );
         self.query_wave(flow, search, now);
     }
