--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -18,9 +18,10 @@
 use std::time::Duration;
 
 use anyhow::Context;
+use tokio::signal::unix::{SignalKind, signal};
+
 pub use settings::{Settings, TimeLimits};
 pub use snapshot::SnapshotReader;
-use tokio::signal::unix::{SignalKind, signal};
 
 use crate::listen::Server;
 use crate::{events, metrics, platform};
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -18,13 +18,13 @@
 /// attempts within the time of a planned stop.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Timeout of the read at the agent's start. A larger value keeps the target's
-/// callers waiting for longer while the store is unreachable.
+/// Timeout of the read at the agent's start. A larger value delays the target's flows
+/// for longer while the store is unreachable.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Holds the registration forever, from the target's first report on. An agent
-/// that registers without a target and disappears would delay the searches for
-/// flows of its service.
+/// Keeps the registration in the store until dropped, from the target's first report
+/// on. An agent that registers without a target and disappears would delay the
+/// searches for flows of its service.
 pub(super) async fn hold_registration(
     store: platform::kv::Client,
     key: String,
@@ -43,7 +43,7 @@
 
 /// Deletes the registration of an agent whose target has ended, retrying for up to
 /// `time_limit`. A registration that stays until its lease expires makes balancers
-/// that start meanwhile wait for this agent before they give up a flow.
+/// that start meanwhile wait for this agent before they reset a lost flow.
 pub(super) async fn deregister(store: &platform::kv::Client, key: &str, time_limit: Duration) {
     let removed = tokio::time::timeout(time_limit, async {
         while let Err(e) = store.delete(key).await {
@@ -73,10 +73,10 @@
 }
 
 impl Registration {
-    /// Stores the target's current start, so that a restarted agent knows which
-    /// start its predecessor served.
-    pub(super) fn set_target_start(&self, start: Incarnation) {
-        let record = ListedAgent { target: Some(start), ..self.record.clone() };
+    /// Stores the target's current incarnation, so that a restarted agent knows which
+    /// one its predecessor served.
+    pub(super) fn set_incarnation(&self, incarnation: Incarnation) {
+        let record = ListedAgent { incarnation: Some(incarnation), ..self.record.clone() };
         match serde_json::to_vec(&record) {
             Ok(value) => {
                 self.value.send_if_modified(|old| {
@@ -97,46 +97,49 @@
 }
 
 /// Reads the registration that a previous process of this agent left.
-pub(super) async fn read_previous(store: &platform::kv::Client, key: &str) -> Previous {
+pub(super) async fn read_previous_registration(
+    store: &platform::kv::Client,
+    key: &str,
+) -> PreviousRegistration {
     let read = tokio::time::timeout(READ_TIMEOUT, store.get(key)).await;
     let kv = match read {
         Ok(Ok(Some(kv))) => kv,
-        Ok(Ok(None)) => return Previous::Absent,
+        Ok(Ok(None)) => return PreviousRegistration::Absent,
         Ok(Err(e)) => {
             log::warn!(
                 event = events::EDGE_STORE, error:% = format!("{e:#}");
                 "reading the previous registration failed; starting without it"
             );
-            return Previous::Unknown;
+            return PreviousRegistration::Unknown;
         }
         Err(_) => {
             log::warn!(
                 event = events::EDGE_STORE, key = key;
                 "reading the previous registration timed out; starting without it"
             );
-            return Previous::Unknown;
+            return PreviousRegistration::Unknown;
         }
     };
     match serde_json::from_slice::<ListedAgent>(&kv.value) {
-        Ok(record) => Previous::Present(record.target),
+        Ok(record) => PreviousRegistration::Present(record.incarnation),
         Err(e) => {
             metrics::dropped("entry_unreadable");
             log::error!(
                 event = events::EDGE_STORE, key = key, error:% = e;
                 "previous registration cannot be decoded; starting without it"
             );
-            Previous::Unknown
+            PreviousRegistration::Unknown
         }
     }
 }
 
 /// The registration of a previous process of this agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Previous {
+pub(super) enum PreviousRegistration {
     /// It could not be read or decoded.
     Unknown,
     /// There is none.
     Absent,
-    /// The start of the target that the previous process served, if known.
+    /// The target's incarnation that the previous process served, if known.
     Present(Option<Incarnation>),
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -13,7 +13,7 @@
 /// Share of a VM's link bandwidth that queries may use.
 const QUERY_LINK_SHARE: f64 = 0.1;
 
-/// Queries a second that one whole core may spend its time on.
+/// Queries a second that a VM with one whole CPU core may send.
 const CORE_QUERY_RATE: f64 = 8_000.0;
 
 /// Settings of a balancer. Durations are in milliseconds in the settings file.
@@ -27,7 +27,7 @@
     /// Upper bound of the response timeout, backoff included.
     #[serde(rename = "slowest", with = "millis")]
     pub max_timeout: Duration,
-    /// Delay before the next round of offers of an open that no agent took.
+    /// Delay before the next round of offers of an open that no agent accepted.
     #[serde(rename = "round", with = "millis")]
     pub retry_delay: Duration,
     /// Upper bound of that delay, which doubles with each round. Equal to
@@ -73,7 +73,7 @@
     /// Bytes buffered for all flows together.
     #[serde(rename = "kept_bytes")]
     pub buffer_bytes: usize,
-    /// Whether a flow's home agent is told which other agent owns the flow.
+    /// Whether a flow's home agent is notified which other agent owns the flow.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
     /// Targets that a packet of a flow without a known owner is tried at first. Where
@@ -91,10 +91,10 @@
     pub relist_grace: Duration,
     /// Packets queued until the first configuration arrives.
     #[serde(rename = "parked")]
-    pub max_parked: usize,
+    pub max_queued_packets: usize,
     /// Interval at which the queue is checked for a new configuration.
     #[serde(rename = "unpark", with = "millis")]
-    pub unpark_interval: Duration,
+    pub queue_check_interval: Duration,
     /// Failure detection of agents.
     #[serde(alias = "doubt")]
     pub suspicion: SuspicionPolicy,
@@ -123,8 +123,8 @@
             max_trials: 2,
             restart_wait: Duration::from_millis(1_200),
             relist_grace: Duration::from_millis(2_500),
-            max_parked: 512,
-            unpark_interval: Duration::from_millis(20),
+            max_queued_packets: 512,
+            queue_check_interval: Duration::from_millis(20),
             suspicion: SuspicionPolicy::default(),
         }
     }
@@ -132,7 +132,7 @@
 
 impl BalancerPolicy {
     /// Lowers the query and ping rates to what a VM with a link of `mbps` Mbit/s and
-    /// `cpu` cores can spare beside its callers' traffic.
+    /// `cpu` cores can send beside its callers' traffic.
     #[must_use]
     pub fn scaled_to_vm(mut self, mbps: f64, cpu: f64) -> Self {
         let link = mbps * 125_000.0 * QUERY_LINK_SHARE / QUERY_BYTES;
@@ -149,7 +149,7 @@
             ("slowest", self.max_timeout),
             ("round", self.retry_delay),
             ("longest_round", self.max_retry_delay),
-            ("unpark", self.unpark_interval),
+            ("unpark", self.queue_check_interval),
             ("suspicion.ping", self.suspicion.ping_interval),
         ];
         for (field, time) in times {
@@ -207,12 +207,12 @@
     /// time of a planned restart.
     #[serde(alias = "gone", with = "millis")]
     pub dead_after: Duration,
-    /// How long an agent's report that it can take no flow counts; afterwards it is
+    /// How long an agent's report that it cannot accept flows is valid; afterwards it is
     /// offered flows again.
     #[serde(rename = "unable", with = "millis")]
     pub unable_ttl: Duration,
-    /// A missed answer does not make an agent silent if it was heard from within this
-    /// time.
+    /// An agent that sent a message within this time does not count as silent when an
+    /// answer is missing.
     #[serde(rename = "heard", with = "millis")]
     pub silence_grace: Duration,
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 
 use anyhow::Context;
+
 pub use parts::{Index, PART_COUNT, Part};
 
 use crate::steering::Routes;
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -15,9 +15,9 @@
 
 impl FlowSteering {
     /// Buffers a packet and starts a search for its flow's owner, unless one is running.
-    pub(super) fn search_owner(&mut self, arrival: &ReceivedPacket<'_>, out: &mut impl Transmit) {
-        let ReceivedPacket { seg, now, .. } = *arrival;
-        let flow = arrival.flow();
+    pub(super) fn search_owner(&mut self, received: &ReceivedPacket<'_>, out: &mut impl Transmit) {
+        let ReceivedPacket { seg, now, .. } = *received;
+        let flow = received.flow();
         let Some(routes) = &self.routes else { return };
         let Some(weighted) = routes.service_for(flow) else {
             if !seg.flags.rst {
@@ -26,8 +26,8 @@
             return;
         };
         let service = weighted.service.clone();
-        // The packet overtook the notification of its open: query the agents that the
-        // open was offered to first.
+        // The packet overtook the update on its open: query the agents that the open was
+        // offered to first.
         let (mut search, offered) = match self.flows.remove(flow) {
             Some(FlowState::Searching(s)) => (s, Vec::new()),
             Some(FlowState::Opening(o)) => (OwnerSearch::default(), o.offered_to),
@@ -38,7 +38,7 @@
         if !running {
             search.packets.clear();
         }
-        search.buffer_packet(seg, arrival.packet, self.buffered_bytes, &self.policy);
+        search.buffer_packet(seg, received.packet, self.buffered_bytes, &self.policy);
         self.buffered_bytes += search.buffered_bytes();
         if !running {
             search.service = service;
@@ -85,7 +85,7 @@
     fn query_wave(&mut self, flow: Flow, search: &mut OwnerSearch, now: Instant) {
         let wave = search.next_wave(&self.policy.wave_sizes);
         for agent in &wave {
-            self.queries.enqueue(*agent, &search.service, search.question(flow));
+            self.queries.enqueue(*agent, &search.service, search.queried_flow(flow));
         }
         // Fits: a service has far fewer agents.
         search.message_count += wave.len() as u32;
@@ -123,8 +123,8 @@
             s.unqueried.retain(|a| *a != hint);
             s.pending.push(hint);
             s.message_count += 1;
-            let (service, question) = (s.service.clone(), s.question(answer.flow));
-            self.queries.enqueue(hint, &service, question);
+            let (service, queried) = (s.service.clone(), s.queried_flow(answer.flow));
+            self.queries.enqueue(hint, &service, queried);
             if let Some(FlowState::Searching(mut s)) = self.flows.remove(answer.flow) {
                 self.start_wave_timer(answer.flow, &mut s, now);
                 self.flows.insert(answer.flow, FlowState::Searching(s), now);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Marks the agents that have not answered as silent and goes on with the search.
+    /// Marks the agents that have not answered as silent and continues the search.
     pub(super) fn handle_wave_timeout(
         &mut self,
         flow: Flow,
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -1,5 +1,5 @@
 //! Outcome of an owner search that found no owner: resets the flow if it is lost, or
-//! tries its last packet at targets whose agents may have forgotten it.
+//! tries its last packet at targets that may hold it without their agents' knowledge.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -9,9 +9,9 @@
 use crate::metrics::{self, Refusal};
 
 impl FlowSteering {
-    /// Decides the outcome of a round in which some agents did not answer. Dead agents count as not
-    /// holding the flow if most agents answered; otherwise the balancer itself may be
-    /// partitioned from them.
+    /// Decides the outcome of a round in which some agents did not answer. Dead agents
+    /// count as not holding the flow if most agents answered; otherwise the balancer
+    /// itself may be partitioned from them.
     pub(super) fn resolve_on_timeout(&mut self, flow: Flow, now: Instant, out: &mut impl Transmit) {
         let Some(FlowState::Searching(s)) = self.flows.peek(flow) else { return };
         let all_dead = s.silent.iter().all(|a| self.roster.is_dead(*a, now));
@@ -26,10 +26,10 @@
     }
 
     /// Whether trials need not wait for a silent agent: it has been silent for longer
-    /// than a restart takes, or it left together with its target, as agents do one
-    /// after another in a release.
+    /// than a restart takes, or it left together with its target, as in a rolling
+    /// release.
     fn is_unreachable(&self, agent: SocketAddrV4, now: Instant) -> bool {
-        let left = self.store_up_since.is_some() && self.roster.has_left(agent);
+        let left = self.store_reachable_since.is_some() && self.roster.has_left(agent);
         left || self.roster.is_silent_for(agent, self.policy.restart_wait, now)
     }
 
@@ -42,7 +42,7 @@
         out: &mut impl Transmit,
     ) {
         self.end_round(flow);
-        if lost && self.store_up_since.is_some() {
+        if lost && self.store_reachable_since.is_some() {
             self.reset_lost(flow, out);
         } else {
             self.try_unverified(flow, now, out);
@@ -68,7 +68,7 @@
     }
 
     /// Tries the last packet at the target of the agent named as the owner, if that
-    /// agent may have forgotten the flow, without waiting for other answers.
+    /// agent could not verify the flow, without waiting for other answers.
     pub(super) fn try_named_owner(&mut self, flow: Flow, out: &mut impl Transmit) {
         let limit = self.policy.max_trials;
         let Some(FlowState::Searching(s)) = self.flows.peek_mut(flow) else { return };
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tries the last packet at targets whose agents may have forgotten the flow: first
+    /// Tries the last packet at targets whose agents could not verify the flow: first
     /// the `max_trials` to which the open was most likely offered. Once these rejected
     /// it, tries all others if the owner must be among them, which holds if every agent
     /// of the service answered or left and the roster is complete.
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -10,7 +10,7 @@
 use crate::flow::{Flow, Segment};
 use crate::metrics;
 use crate::policy::BalancerPolicy;
-use crate::protocol::{FlowStatus, ForwardMode, Message, Question};
+use crate::protocol::{FlowStatus, ForwardMode, Message, QueriedFlow};
 
 /// A search for a flow's owner.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
     pub pending: Vec<SocketAddrV4>,
     /// Queried agents that did not answer in time.
     pub(super) silent: Vec<SocketAddrV4>,
-    /// Agents that may have forgotten the flow ([`FlowStatus::Unverified`]).
+    /// Agents that answered [`FlowStatus::Unverified`]: their targets may hold the flow.
     pub unverified: Vec<SocketAddrV4>,
     /// Agents at whose targets the flow was tried, by any balancer.
     pub tried: Vec<SocketAddrV4>,
@@ -92,8 +92,8 @@
         self.unqueried.drain(..size.min(self.unqueried.len())).collect()
     }
 
-    pub(super) const fn question(&self, flow: Flow) -> Question {
-        Question { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
+    pub(super) const fn queried_flow(&self, flow: Flow) -> QueriedFlow {
+        QueriedFlow { flow, ack: if self.has_ack { Some(self.ack) } else { None } }
     }
 
     /// Size of the buffered packets.
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -21,10 +21,10 @@
         if let Some(reason) = self.ignore_reason(&report, now) {
             metrics::dropped(reason);
             log::warn!(
-                event = events::REPORT_IGNORED, target_id:% = report.incarnation, report = report.seq,
-                service = report.service, reason:% = reason,
+                event = events::REPORT_IGNORED, target_id:% = report.incarnation,
+                report = report.seq, service = report.service, reason:% = reason,
                 current:? = self.target.as_ref().map(|t| t.incarnation().to_string());
-                "report ignored"
+                "report of the target ignored"
             );
             return false;
         }
@@ -40,7 +40,7 @@
                 self.ends_at = None;
                 if std::mem::take(&mut self.end_announced) {
                     // Until the store lists this incarnation, balancers that know of the
-                    // end take a silent agent's flows as lost.
+                    // end treat a silent agent's flows as lost.
                     self.newly_listed = true;
                     self.first_report = Some(now);
                 }
@@ -83,20 +83,21 @@
         false
     }
 
-    /// Hands over flow ownership before a planned stop: tells another agent that the
-    /// agent at `me` owns its open flows, and tells the owners named in its hints that
-    /// they own theirs. Sends one datagram per flow.
+    /// Hands over flow ownership before a planned stop: tells another agent that this
+    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints
+    /// that they own theirs. Sends one datagram per flow.
     ///
     /// The next process starts without flow state. If the balancers restart as well,
-    /// the hints tell them which agent to try first.
-    pub fn send_owner_hints(&self, me: SocketAddrV4, out: &mut impl Transmit) {
+    /// they learn from the hints which agent to try first.
+    pub fn send_owner_hints(&self, own_addr: SocketAddrV4, out: &mut impl Transmit) {
         if !self.policy.hints_enabled || self.target_ended {
             return;
         }
         let open = self.flows.iter().filter(|(_, tracked)| tracked.phase == FlowPhase::Open);
-        let own =
-            open.filter_map(|(f, tracked)| Some((tracked.other_agent.or(self.last_peer)?, f, me)));
-        let named = self.hints.iter().filter(|(_, owner)| **owner != me);
+        let own = open.filter_map(|(f, tracked)| {
+            Some((tracked.other_agent.or(self.last_peer)?, f, own_addr))
+        });
+        let named = self.hints.iter().filter(|(_, owner)| **owner != own_addr);
         let mut all: Vec<_> = own.chain(named.map(|(f, owner)| (*owner, f, *owner))).collect();
         // A fixed order keeps simulations reproducible.
         all.sort_unstable();
@@ -136,7 +137,7 @@
     }
 
     /// Records that the target's process has ended, and resets its flows. The next
-    /// incarnation is known by its report.
+    /// incarnation is detected by its report.
     pub fn mark_target_ended(&mut self, out: &mut impl Transmit) {
         if let Some(t) = &mut self.target {
             t.mark_ended();
@@ -192,9 +193,13 @@
 
     /// When [`FlowTracker::tick`] or a probe is due next.
     #[must_use]
-    pub fn next_due(&self) -> Option<Instant> {
-        let queues =
-            [&self.pending_opens, &self.unanswered_opens, &self.pending_work, &self.closed_flows];
+    pub fn next_deadline(&self) -> Option<Instant> {
+        let queues = [
+            &self.pending_handshakes,
+            &self.unanswered_opens,
+            &self.pending_requests,
+            &self.closed_flows,
+        ];
         let first = queues.into_iter().filter_map(|q| q.front().map(|(at, _)| *at)).min();
         let probe = self.probe_at.filter(|_| self.may_be_running());
         [first, self.ends_at, probe].into_iter().flatten().min()
@@ -202,7 +207,7 @@
 
     /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Instant, out: &mut impl Transmit) {
-        while let Some(flow) = pop_due(&mut self.pending_opens, now) {
+        while let Some(flow) = pop_due(&mut self.pending_handshakes, now) {
             let phase = self.flows.peek(flow).map(|tracked| tracked.phase);
             if matches!(phase, Some(FlowPhase::Opening { .. } | FlowPhase::Answered(_))) {
                 self.set_waiting(flow, false, now);
@@ -216,7 +221,7 @@
                 self.remove_flow(flow);
             }
         }
-        while let Some(flow) = pop_due(&mut self.pending_work, now) {
+        while let Some(flow) = pop_due(&mut self.pending_requests, now) {
             let since = self.flows.peek(flow).and_then(|tracked| tracked.waiting_since);
             if since.is_some_and(|at| now.duration_since(at) >= self.policy.request_timeout) {
                 self.set_waiting(flow, false, now);
--- a/src/tracker/target.rs
+++ b/src/tracker/target.rs
@@ -5,16 +5,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Number of earlier incarnations remembered, so that a delayed report of one of
-/// them is not taken for a new start.
-const MAX_EARLIER: usize = 8;
+/// Number of earlier incarnations stored, so that a delayed report of one of
+/// them is not taken for one of a new incarnation.
+const MAX_EARLIER_INCARNATIONS: usize = 8;
 
 /// Sequence number of an incarnation's first report.
-const FIRST_REPORT: u64 = 1;
+const FIRST_REPORT_SEQ: u64 = 1;
 
 /// Highest sequence number of an early report: one that a target sends while its
 /// first reports go unanswered and are retried about every 0.1 s.
-const MAX_EARLY_REPORT: u64 = 4;
+const MAX_EARLY_REPORT_SEQ: u64 = 4;
 
 /// How long after an agent's start an early report counts as the retry of an
 /// unanswered one. A target that was answered reports about once a second, so a
@@ -24,11 +24,11 @@
 
 /// How long after its last report an incarnation counts as running: two of the
 /// longest pauses between reports (1.2 s). Meanwhile, a report with an earlier start
-/// time is a delayed one; afterwards it may be of a new start on a VM whose clock was
-/// set back, and is accepted.
+/// time is a delayed one; afterwards it may be of a new incarnation on a VM whose clock
+/// was set back, and is accepted.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(2_400);
 
-/// One start of a target. A target may start again under the same identity.
+/// One run of a target's process. Later runs of the target may have the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{id}{}", started_ms.map(|ms| format!("@{ms}")).unwrap_or_default())]
 pub struct Incarnation {
@@ -50,22 +50,22 @@
 /// The previous process of an agent, as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// Incarnation of the target that the process last took flows for.
+    /// Incarnation of the target that the process last accepted flows for.
     pub incarnation: Incarnation,
     /// When the current process started to receive the target's reports.
     pub replaced_at: Instant,
 }
 
 impl Predecessor {
-    /// Whether `report` shows that the process took no flows for the incarnation that
-    /// sent it.
+    /// Whether `report` shows that the process accepted no flows for the incarnation
+    /// that sent it.
     ///
     /// A different incarnation in the store is not enough: the process may have
     /// served this one while the store was unavailable. In that case it answered the
     /// target's reports, and the next one is not a retry.
     fn missed_start(&self, report: &Report, now: Instant) -> bool {
         let retried = now.saturating_duration_since(self.replaced_at) <= EARLY_REPORT_WINDOW;
-        self.incarnation != report.incarnation && report.seq <= MAX_EARLY_REPORT && retried
+        self.incarnation != report.incarnation && report.seq <= MAX_EARLY_REPORT_SEQ && retried
     }
 }
 
@@ -143,10 +143,10 @@
         now: Instant,
     ) -> Self {
         let missed = predecessor.is_some_and(|p| p.missed_start(report, now));
-        let seen = previous.is_some() || report.seq <= FIRST_REPORT;
+        let seen = previous.is_some() || report.seq <= FIRST_REPORT_SEQ;
         let mut earlier = previous.map(|t| t.earlier.clone()).unwrap_or_default();
         earlier.extend(previous.map(|t| t.incarnation.clone()));
-        let excess = earlier.len().saturating_sub(MAX_EARLIER);
+        let excess = earlier.len().saturating_sub(MAX_EARLIER_INCARNATIONS);
         earlier.drain(..excess);
         Self {
             incarnation: report.incarnation.clone(),
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -116,7 +116,7 @@
     };
     let hint = Some(flow.caller);
     let answers =
-        vec![Answer { flow, status: FlowStatus::Unverified, hint }; protocol::MAX_QUESTIONS];
+        vec![Answer { flow, status: FlowStatus::Unverified, hint }; protocol::MAX_QUERY_FLOWS];
     let message = Message::Response { answers, load: u32::MAX };
     protocol::encode(&message, &[], &mut buf).unwrap();
     assert!(buf.len() <= 1_236, "{} bytes: longer than a packet", buf.len());
@@ -132,7 +132,7 @@
         "packets": "10.1.0.12:8172", "store": "10.200.1.7:8169",
         "seeds": ["10.1.0.12:8166", "10.2.0.40:8166"], "bounds": { "grace_s": 6, "flow_s": 60 } }"#;
     let s = Settings::parse(good).unwrap();
-    assert_eq!(s.bus_addr(), "10.1.0.12:7720".parse().unwrap());
+    assert_eq!(s.message_addr(), "10.1.0.12:7720".parse().unwrap());
     assert_eq!(s.peer_addrs(), ["10.2.0.40:7720".parse().unwrap()], "not itself");
     for (from, to, field) in [
         ("[7720, 7735]", "[7735, 7720]", "ports"),
