--- a/src/steering/queries.rs
+++ b/src/steering/queries.rs
@@ -8,8 +8,8 @@
 
 use super::Transmit;
 use crate::flow::Flow;
-use crate::token_bucket::TokenBucket;
 use crate::protocol::{MAX_QUERY_FLOWS, Message, QueriedFlow, Query};
+use crate::token_bucket::TokenBucket;
 
 /// Queued queries to one agent.
 #[derive(Debug, Default)]
