--- a/src/trial/caller.rs
+++ b/src/trial/caller.rs
@@ -18,25 +18,25 @@
 use crate::platform::packet;
 
 /// When the copies of an open follow the first, and when it is given up.
-const OPEN: [Duration; 3] =
+const SYN_WAITS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(800)];
 
 /// First pause before a request is sent again; it doubles up to [`MOST`].
-const FIRST: Duration = Duration::from_millis(200);
+const INITIAL_RTO: Duration = Duration::from_millis(200);
 
 /// Longest pause before a request is sent again.
-const MOST: Duration = Duration::from_millis(1_600);
+const MAX_RTO: Duration = Duration::from_millis(1_600);
 
 /// How long a request may take.
-const LIMIT: Duration = Duration::from_secs(6);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Pause between two requests of a feed.
-const FEED: Duration = Duration::from_millis(200);
+const FEED_PAUSE: Duration = Duration::from_millis(200);
 
 type Inbox = mpsc::UnboundedSender<(Segment, Vec<u8>)>;
 
 /// One caller's VM: a socket and the flows behind it.
-pub struct Line {
+pub struct CallerSocket {
     sock: Rc<UdpSocket>,
     zone: usize,
     router: Rc<Router>,
@@ -44,7 +44,7 @@
     reader: JoinHandle<()>,
 }
 
-impl Line {
+impl CallerSocket {
     /// A caller's VM at `local` in data centre `zone`.
     pub async fn bind(local: SocketAddrV4, zone: u8, router: Rc<Router>) -> anyhow::Result<Self> {
         let sock = Rc::new(UdpSocket::bind(local).await.context("trial: binding callers")?);
@@ -78,28 +78,28 @@
 }
 
 /// One open flow.
-struct Call {
-    line: Rc<Line>,
+struct OpenFlow {
+    socket: Rc<CallerSocket>,
     flow: Flow,
     inbox: mpsc::UnboundedReceiver<(Segment, Vec<u8>)>,
     seq: u32,
     ack: u32,
     /// The target finished after its last answer.
-    over: bool,
+    finished: bool,
 }
 
-impl Call {
+impl OpenFlow {
     /// Opens a flow, or says that it could not be opened.
-    async fn open(line: &Rc<Line>, port: u16, service: SocketAddrV4) -> Option<Self> {
+    async fn open(line: &Rc<CallerSocket>, port: u16, service: SocketAddrV4) -> Option<Self> {
         let flow = Flow { caller: SocketAddrV4::new(line.ip(), port), vip: service };
         let (tx, inbox) = mpsc::unbounded_channel();
         line.flows.borrow_mut().insert(flow, tx);
         let seq: u32 = rand::random();
-        let mut call = Self { line: line.clone(), flow, inbox, seq, ack: 0, over: false };
-        for (copy, wait) in (0_u32..).zip(OPEN) {
+        let mut call = Self { socket: line.clone(), flow, inbox, seq, ack: 0, finished: false };
+        for (copy, wait) in (0_u32..).zip(SYN_WAITS) {
             let syn = Flags { syn: true, ..Flags::default() };
             line.send(flow, syn, seq, copy, &[]).await;
-            let Some((seg, _)) = call.hear(wait).await else { continue };
+            let Some((seg, _)) = call.receive_within(wait).await else { continue };
             if seg.flags.rst {
                 return None;
             }
@@ -112,20 +112,20 @@
         None
     }
 
-    async fn hear(&mut self, wait: Duration) -> Option<(Segment, Vec<u8>)> {
+    async fn receive_within(&mut self, wait: Duration) -> Option<(Segment, Vec<u8>)> {
         tokio::time::timeout(wait, self.inbox.recv()).await.ok().flatten()
     }
 
     /// Sends one request and waits for its answer; says whether it came.
-    async fn ask(&mut self, text: &str) -> bool {
+    async fn request(&mut self, text: &str) -> bool {
         let flags = Flags { ack: true, ..Flags::default() };
-        let end = Instant::now() + LIMIT;
-        let mut pause = FIRST;
+        let end = Instant::now() + REQUEST_TIMEOUT;
+        let mut pause = INITIAL_RTO;
         while Instant::now() < end {
-            self.line.send(self.flow, flags, self.seq, self.ack, text.as_bytes()).await;
+            self.socket.send(self.flow, flags, self.seq, self.ack, text.as_bytes()).await;
             let again = Instant::now() + pause;
             while let Some((seg, data)) =
-                self.hear(again.saturating_duration_since(Instant::now())).await
+                self.receive_within(again.saturating_duration_since(Instant::now())).await
             {
                 if seg.flags.rst {
                     return false;
@@ -133,31 +133,31 @@
                 if seg.len > 0 && seg.seq == self.ack && !data.is_empty() {
                     self.seq = self.seq.wrapping_add(text.len() as u32);
                     self.ack = self.ack.wrapping_add(u32::from(seg.len));
-                    self.over = seg.flags.fin;
+                    self.finished = seg.flags.fin;
                     return true;
                 }
             }
-            pause = (pause * 2).min(MOST);
+            pause = (pause * 2).min(MAX_RTO);
         }
         false
     }
 
     async fn close(mut self) {
         let flags = Flags { ack: true, fin: true, ..Flags::default() };
-        self.line.send(self.flow, flags, self.seq, self.ack, &[]).await;
-        let _ = self.hear(FIRST).await;
+        self.socket.send(self.flow, flags, self.seq, self.ack, &[]).await;
+        let _ = self.receive_within(INITIAL_RTO).await;
     }
 }
 
-impl Drop for Call {
+impl Drop for OpenFlow {
     fn drop(&mut self) {
-        self.line.flows.borrow_mut().remove(&self.flow);
+        self.socket.flows.borrow_mut().remove(&self.flow);
     }
 }
 
 /// Plays feeds and single requests until `end`.
-pub async fn load(
-    line: Line,
+pub async fn run_workload(
+    line: CallerSocket,
     vip: Ipv4Addr,
     feeds: u16,
     rate: u16,
@@ -174,14 +174,14 @@
     for i in 0..feeds {
         let service = SERVICES[usize::from(i) % SERVICES.len()];
         let first = next();
-        tasks.spawn_local(feed(line.clone(), vip, service, first, end, report.clone()));
+        tasks.spawn_local(run_feed(line.clone(), vip, service, first, end, report.clone()));
     }
     let gap = Duration::from_secs(1) / u32::from(rate.max(1));
     let mut n = 0;
     while Instant::now() < end {
         let service = SERVICES[n % SERVICES.len()];
         n += 1;
-        tasks.spawn_local(single(line.clone(), vip, service, next(), report.clone()));
+        tasks.spawn_local(run_single_request(line.clone(), vip, service, next(), report.clone()));
         tokio::time::sleep(gap).await;
     }
     while tasks.join_next().await.is_some() {}
@@ -189,8 +189,8 @@
 }
 
 /// Asks on one flow; where the target finished the flow, on a new one.
-async fn feed(
-    line: Rc<Line>,
+async fn run_feed(
+    line: Rc<CallerSocket>,
     vip: Ipv4Addr,
     (service, route): (&'static str, u16),
     first: u16,
@@ -199,47 +199,48 @@
 ) {
     let mut port = first;
     while Instant::now() < end {
-        let Some(mut call) = Call::open(&line, port, SocketAddrV4::new(vip, route)).await else {
+        let Some(mut call) = OpenFlow::open(&line, port, SocketAddrV4::new(vip, route)).await
+        else {
             report.borrow_mut().failed += 1;
             port = port.wrapping_add(20_000);
             continue;
         };
-        while Instant::now() < end && !call.over {
-            if !request(&mut call, service, &report).await {
+        while Instant::now() < end && !call.finished {
+            if !measure_request(&mut call, service, &report).await {
                 report.borrow_mut().broken += 1;
                 break;
             }
-            tokio::time::sleep(FEED).await;
+            tokio::time::sleep(FEED_PAUSE).await;
         }
         call.close().await;
         port = port.wrapping_add(20_000);
     }
 }
 
-async fn single(
-    line: Rc<Line>,
+async fn run_single_request(
+    line: Rc<CallerSocket>,
     vip: Ipv4Addr,
     (service, route): (&'static str, u16),
     port: u16,
     report: Rc<RefCell<Report>>,
 ) {
-    match Call::open(&line, port, SocketAddrV4::new(vip, route)).await {
+    match OpenFlow::open(&line, port, SocketAddrV4::new(vip, route)).await {
         Some(mut call) => {
-            request(&mut call, service, &report).await;
+            measure_request(&mut call, service, &report).await;
             call.close().await;
         }
         None => report.borrow_mut().failed += 1,
     }
 }
 
-async fn request(call: &mut Call, service: &str, report: &RefCell<Report>) -> bool {
+async fn measure_request(call: &mut OpenFlow, service: &str, report: &RefCell<Report>) -> bool {
     let text = format!("{service} {:x}", rand::random::<u64>());
     let started = Instant::now();
-    let ok = call.ask(&text).await;
+    let ok = call.request(&text).await;
     let mut seen = report.borrow_mut();
     if ok {
         seen.served += 1;
-        seen.times.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
+        seen.latencies_ms.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
     } else {
         seen.failed += 1;
     }
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -23,20 +23,20 @@
 
 pub use plan::{Plan, SERVICES, ZONES};
 pub use report::Report;
-pub use router::Hash;
+pub use router::FlowHash;
 
 use crate::platform;
 use crate::store::LeaseStore;
 use crate::up::{Children, Signal};
-use plan::{FIRST_IDLE, IDLE_VIP, Ports, VIP, balancer_ip, caller_ip, target_ip};
+use plan::{FIRST_IDLE_PORT, IDLE_VIP, Ports, VIP, balancer_ip, caller_ip, target_ip};
 use router::Router;
 use target::Target;
 
 /// Timeout of one call to the store stand-in, on the same machine.
-const CALL: Duration = Duration::from_millis(500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a trial may take to come up.
-const READY: Duration = Duration::from_secs(15);
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A running trial.
 pub struct Trial {
@@ -60,7 +60,7 @@
     /// Fails when a process cannot start or the trial is not up in time.
     pub async fn start(exe: &Path, dir: &Path, plan: Plan) -> anyhow::Result<Self> {
         std::fs::create_dir_all(dir).context("trial: making its folder")?;
-        let ports = Ports { base: plan.base };
+        let ports = Ports { base: plan.base_port };
         let zones = 0..ZONES.len() as u8;
         let balancers: Vec<Vec<SocketAddrV4>> = zones
             .map(|z| {
@@ -82,17 +82,17 @@
             trial.launch(&label)?;
         }
         trial.start_targets().await?;
-        trial.ready().await?;
+        trial.wait_until_ready().await?;
         Ok(trial)
     }
 
     async fn start_store(&mut self) -> anyhow::Result<()> {
         let addr = SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.ports.store());
-        let path = self.write("store", &json!({ "store": { "addr": addr } }))?;
+        let path = self.write_settings("store", &json!({ "store": { "addr": addr } }))?;
         let log = self.dir.join("store.log");
         self.children.spawn("store", &["store", "--config", &path], &log)?;
-        let deadline = Instant::now() + READY;
-        while let Err(e) = self.configure(1).await {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while let Err(e) = self.write_config(1).await {
             if Instant::now() > deadline {
                 return Err(e);
             }
@@ -106,13 +106,15 @@
     /// # Errors
     ///
     /// Fails when the store does not take it.
-    pub async fn configure(&self, version: u64) -> anyhow::Result<()> {
+    pub async fn write_config(&self, version: u64) -> anyhow::Result<()> {
         let used = SERVICES.map(|(service, port)| (service, SocketAddrV4::new(VIP, port)));
         let idle = (0..self.plan.idle_routes)
-            .map(|n| ("idle", SocketAddrV4::new(IDLE_VIP, FIRST_IDLE + n)));
+            .map(|n| ("idle", SocketAddrV4::new(IDLE_VIP, FIRST_IDLE_PORT + n)));
         let routes: Vec<_> = used.into_iter().chain(idle).collect();
         let config = platform::config::encode(version, &routes).to_string();
-        let client = platform::kv::Client::new(self.store().into(), CALL, CALL).await?;
+        let client =
+            platform::kv::Client::new(self.store_addr().into(), STORE_TIMEOUT, STORE_TIMEOUT)
+                .await?;
         let put = client.put(platform::config::CONFIG_KEY, config.as_bytes(), 0).await;
         put.context("trial: writing the configuration")
     }
@@ -130,7 +132,7 @@
         labels
     }
 
-    fn write(&self, name: &str, settings: &serde_json::Value) -> anyhow::Result<String> {
+    fn write_settings(&self, name: &str, settings: &serde_json::Value) -> anyhow::Result<String> {
         let path = self.dir.join(format!("{name}.jsonc"));
         std::fs::write(&path, settings.to_string())
             .with_context(|| format!("trial: writing {}", path.display()))?;
@@ -171,7 +173,7 @@
             settings["reports"] = at(ip, p.reports());
             settings["target"] = at(ip, p.app());
         }
-        let path = self.write(label, &settings)?;
+        let path = self.write_settings(label, &settings)?;
         let log = self.dir.join(format!("{label}.log"));
         self.children.spawn(label, &[&role, "--config", &path], &log)
     }
@@ -195,8 +197,8 @@
         Ok(())
     }
 
-    async fn ready(&mut self) -> anyhow::Result<()> {
-        let deadline = Instant::now() + READY;
+    async fn wait_until_ready(&mut self) -> anyhow::Result<()> {
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             self.children.check_alive()?;
             self.router.probe().await;
@@ -206,7 +208,7 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                bail!("trial: not up within {READY:?}; logs in {}", self.dir.display());
+                bail!("trial: not up within {START_TIMEOUT:?}; logs in {}", self.dir.display());
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -217,7 +219,7 @@
     /// # Errors
     ///
     /// Fails when `change` does or a caller cannot start.
-    pub async fn play<C>(&mut self, change: C) -> anyhow::Result<Report>
+    pub async fn run_load<C>(&mut self, change: C) -> anyhow::Result<Report>
     where
         C: AsyncFnOnce(&mut Self) -> anyhow::Result<()>,
     {
@@ -227,10 +229,10 @@
         let end = Instant::now() + Duration::from_secs(self.plan.secs);
         for z in 0..ZONES.len() as u8 {
             let local = SocketAddrV4::new(caller_ip(z), self.ports.packets());
-            let line = caller::Line::bind(local, z, self.router.clone()).await?;
+            let line = caller::CallerSocket::bind(local, z, self.router.clone()).await?;
             let (feeds, rate) = (self.plan.feeds / 2, self.plan.rate / 2);
             let report = self.report.clone();
-            callers.spawn_local(caller::load(line, VIP, feeds, rate, end, report));
+            callers.spawn_local(caller::run_workload(line, VIP, feeds, rate, end, report));
         }
         let changed = change(self).await;
         while let Some(done) = callers.join_next().await {
@@ -243,7 +245,7 @@
     }
 
     /// Has a target say that it leaves, serve on for a while, and end.
-    pub fn drain(&self, name: &str) {
+    pub fn drain_target(&self, name: &str) {
         if let Some(t) = self.targets.iter().find(|t| t.name() == name) {
             t.drain();
         }
@@ -260,20 +262,20 @@
     }
 
     /// Sends a signal to one process.
-    pub fn send(&self, label: &str, signal: Signal) {
+    pub fn signal(&self, label: &str, signal: Signal) {
         self.children.send(label, signal);
     }
 
     /// The metrics and beliefs address of one process.
     #[must_use]
-    pub fn inspect(&self, entry: bool, group: u8, n: u8) -> SocketAddrV4 {
+    pub fn metrics_addr(&self, entry: bool, group: u8, n: u8) -> SocketAddrV4 {
         let ip = if entry { balancer_ip(group, n) } else { target_ip(group, n) };
         SocketAddrV4::new(ip, self.ports.metrics())
     }
 
     /// The store stand-in's address.
     #[must_use]
-    pub fn store(&self) -> SocketAddrV4 {
+    pub fn store_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.ports.store())
     }
 
@@ -295,7 +297,7 @@
     let exe = std::env::current_exe().context("trial: finding this binary")?;
     let dir = std::env::temp_dir().join(format!("jujubepost-trial-{}", std::process::id()));
     let mut trial = Trial::start(&exe, &dir, plan).await?;
-    let report = trial.play(async |_: &mut Trial| Ok(())).await?;
+    let report = trial.run_load(async |_: &mut Trial| Ok(())).await?;
     print!("{report}");
     trial.down().await;
     let _ = std::fs::remove_dir_all(&dir);
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use super::Hash;
+use super::FlowHash;
 
 /// The data centres of a trial.
 pub const ZONES: [&str; 2] = ["gjw-a", "gjw-b"];
@@ -17,15 +17,15 @@
 pub const IDLE_VIP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 2);
 
 /// First port of the routes without traffic.
-pub const FIRST_IDLE: u16 = 1_000;
+pub const FIRST_IDLE_PORT: u16 = 1_000;
 
 /// The size of a trial and its load.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Plan {
     /// First port; the trial uses twenty from it on, at loopback addresses of
     /// its own.
-    #[arg(long, default_value_t = 25_000)]
-    pub base: u16,
+    #[arg(long = "base", value_name = "BASE", default_value_t = 25_000)]
+    pub base_port: u16,
     /// Balancers in each of the two data centres.
     #[arg(long, default_value_t = 2)]
     pub balancers: u8,
@@ -42,8 +42,8 @@
     #[arg(long, default_value_t = 5)]
     pub secs: u64,
     /// How routers spread flows over balancers.
-    #[arg(long, value_enum, default_value_t = Hash::Mod)]
-    pub hash: Hash,
+    #[arg(long, value_enum, default_value_t = FlowHash::Modulo)]
+    pub hash: FlowHash,
     /// Routes without traffic.
     #[arg(long, default_value_t = 0)]
     pub idle_routes: u16,
@@ -55,13 +55,13 @@
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            base: 25_000,
+            base_port: 25_000,
             balancers: 2,
             targets: 3,
             feeds: 20,
             rate: 50,
             secs: 5,
-            hash: Hash::Mod,
+            hash: FlowHash::Modulo,
             idle_routes: 0,
             relay_kib: 256,
         }
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -14,27 +14,27 @@
     /// Feeds whose flow broke.
     pub broken: u32,
     /// Requests that ran twice.
-    pub doubled: u32,
+    pub duplicates: u32,
     /// Requests that reached a target of another service.
     pub foreign: u32,
     /// Flows opened at each target.
-    pub opened: HashMap<String, u32>,
+    pub flows_by_target: HashMap<String, u32>,
     /// Times to the answer, in milliseconds.
-    pub times: Vec<u64>,
+    pub latencies_ms: Vec<u64>,
 }
 
 impl Report {
     /// Flows of the busiest target of a service over the mean.
     #[must_use]
-    pub fn imbalance(&self, service: &str) -> f64 {
+    pub fn flow_imbalance(&self, service: &str) -> f64 {
         let of = |(name, n): (&String, &u32)| name.starts_with(service).then_some(f64::from(*n));
-        let flows: Vec<f64> = self.opened.iter().filter_map(of).collect();
+        let flows: Vec<f64> = self.flows_by_target.iter().filter_map(of).collect();
         let mean = flows.iter().sum::<f64>() / flows.len().max(1) as f64;
         flows.iter().copied().fold(0.0, f64::max) / mean.max(1.0)
     }
 
-    fn quantile(&self, q: f64) -> u64 {
-        let mut times = self.times.clone();
+    fn latency_quantile_ms(&self, q: f64) -> u64 {
+        let mut times = self.latencies_ms.clone();
         times.sort_unstable();
         let at = (times.len() as f64 * q) as usize;
         times.get(at.min(times.len().saturating_sub(1))).copied().unwrap_or_default()
@@ -46,16 +46,16 @@
         writeln!(
             f,
             "served {} failed {} broken feeds {} doubled {} foreign {}",
-            self.served, self.failed, self.broken, self.doubled, self.foreign
+            self.served, self.failed, self.broken, self.duplicates, self.foreign
         )?;
         writeln!(
             f,
             "time to answer: p50 {} ms, p99 {} ms",
-            self.quantile(0.5),
-            self.quantile(0.99)
+            self.latency_quantile_ms(0.5),
+            self.latency_quantile_ms(0.99)
         )?;
         for (service, _) in SERVICES {
-            writeln!(f, "{service}: busiest target over mean {:.2}", self.imbalance(service))?;
+            writeln!(f, "{service}: busiest target over mean {:.2}", self.flow_imbalance(service))?;
         }
         Ok(())
     }
--- a/src/trial/router.rs
+++ b/src/trial/router.rs
@@ -11,24 +11,26 @@
 use crate::platform::READY_PATH;
 
 /// How often each balancer is asked whether it is ready.
-const PROBE: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Misses after which a balancer is out of rotation.
-const MISSES: u32 = 2;
+const MAX_MISSED_PROBES: u32 = 2;
 
 /// How flows are spread over the balancers in rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Hash {
+pub enum FlowHash {
     /// By the remainder: a change of the rotation moves nearly all flows.
-    Mod,
+    #[value(name = "mod")]
+    Modulo,
     /// By preference: a change moves only the flows of that balancer.
-    Steady,
+    #[value(name = "steady")]
+    Rendezvous,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Balancer {
     addr: SocketAddrV4,
-    misses: u32,
+    missed_probes: u32,
 }
 
 /// The routers of all data centres.
@@ -36,20 +38,20 @@
 pub struct Router {
     zones: RefCell<Vec<Vec<Balancer>>>,
     ready_port: u16,
-    hash: Hash,
+    hash: FlowHash,
 }
 
 impl Router {
     /// Routers over `balancers`, by data centre, none ready yet.
-    pub fn new(balancers: Vec<Vec<SocketAddrV4>>, ready_port: u16, hash: Hash) -> Self {
-        let out = |addr| Balancer { addr, misses: MISSES };
+    pub fn new(balancers: Vec<Vec<SocketAddrV4>>, ready_port: u16, hash: FlowHash) -> Self {
+        let out = |addr| Balancer { addr, missed_probes: MAX_MISSED_PROBES };
         let zones = balancers.into_iter().map(|z| z.into_iter().map(out).collect()).collect();
         Self { zones: RefCell::new(zones), ready_port, hash }
     }
 
     /// Whether every balancer is in rotation.
     pub fn all_ready(&self) -> bool {
-        self.zones.borrow().iter().flatten().all(|b| b.misses < MISSES)
+        self.zones.borrow().iter().flatten().all(|b| b.missed_probes < MAX_MISSED_PROBES)
     }
 
     /// The balancer for a packet of `flow` from data centre `zone`.
@@ -57,16 +59,16 @@
         let zones = self.zones.borrow();
         let home = zones.get(zone)?;
         let mut ready: Vec<SocketAddrV4> =
-            home.iter().filter(|b| b.misses < MISSES).map(|b| b.addr).collect();
+            home.iter().filter(|b| b.missed_probes < MAX_MISSED_PROBES).map(|b| b.addr).collect();
         if ready.len() * 2 < home.len() {
             ready = home.iter().map(|b| b.addr).collect();
         }
         match self.hash {
-            Hash::Mod => {
+            FlowHash::Modulo => {
                 let n = u64::try_from(ready.len()).ok().filter(|n| *n > 0)?;
                 ready.get(usize::try_from(flow.hash64() % n).ok()?).copied()
             }
-            Hash::Steady => ready.into_iter().max_by_key(|b| flow.preference(*b)),
+            FlowHash::Rendezvous => ready.into_iter().max_by_key(|b| flow.preference(*b)),
         }
     }
 
@@ -77,11 +79,11 @@
         let client = Client::new().await;
         for addr in addrs {
             let url = format!("http://{}:{}{READY_PATH}", addr.ip(), self.ready_port);
-            let asked = tokio::time::timeout(PROBE, client.get(url).send()).await;
+            let asked = tokio::time::timeout(PROBE_INTERVAL, client.get(url).send()).await;
             let ready = matches!(asked, Ok(Ok(res)) if res.status().is_success());
             let mut zones = self.zones.borrow_mut();
             if let Some(b) = zones.iter_mut().flatten().find(|b| b.addr == addr) {
-                b.misses = if ready { 0 } else { b.misses + 1 };
+                b.missed_probes = if ready { 0 } else { b.missed_probes + 1 };
             }
         }
     }
@@ -90,7 +92,7 @@
     pub async fn keep_probing(&self) {
         loop {
             self.probe().await;
-            tokio::time::sleep(PROBE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 }
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -18,16 +18,16 @@
 use crate::tracker;
 
 /// How often a target reports itself.
-const HEARTBEAT: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long a request takes.
-const WORK: Duration = Duration::from_millis(5);
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
 /// How long a leaving target serves on after its report was acknowledged.
-const LEAVING: Duration = Duration::from_millis(3_000);
+const DRAIN_TIME: Duration = Duration::from_millis(3_000);
 
 #[derive(Debug, Default)]
-struct State {
+struct TargetState {
     draining: Cell<bool>,
     acknowledged: Cell<bool>,
 }
@@ -35,19 +35,19 @@
 /// A running target.
 pub struct Target {
     name: String,
-    state: Rc<State>,
+    state: Rc<TargetState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 /// One open flow.
 #[derive(Clone, Debug)]
-struct Open {
+struct TargetFlow {
     /// Next byte expected of the caller.
-    next: u32,
+    expected_seq: u32,
     /// Next byte sent.
     seq: u32,
     /// The last answer, sent again when its request comes again.
-    last: Option<Vec<u8>>,
+    last_response: Option<Vec<u8>>,
 }
 
 impl Target {
@@ -59,26 +59,26 @@
         app: SocketAddrV4,
         outbound: SocketAddrV4,
         reports: SocketAddrV4,
-        seen: Rc<RefCell<Report>>,
+        report: Rc<RefCell<Report>>,
     ) -> anyhow::Result<Self> {
         let sock = UdpSocket::bind(app).await.context("trial: binding a target")?;
         // A target also listens for status checks; the open port says that it
         // lives.
         let port = TcpListener::bind(app).await.context("trial: binding a target's port")?;
-        seen.borrow_mut().opened.insert(name.clone(), 0);
-        let state = Rc::new(State::default());
+        report.borrow_mut().flows_by_target.insert(name.clone(), 0);
+        let state = Rc::new(TargetState::default());
         let server = Server {
             name: name.clone(),
             service,
             outbound,
             sock,
             state: state.clone(),
-            seen,
+            report,
             flows: HashMap::new(),
-            runs: HashSet::new(),
+            executed: HashSet::new(),
         };
         let id = format!("i-{name}-{:x}", rand::random::<u32>());
-        let beat = beats(id, service, app, reports, state.clone());
+        let beat = send_heartbeats(id, service, app, reports, state.clone());
         let tasks = vec![
             tokio::task::spawn_local(server.serve()),
             tokio::task::spawn_local(beat),
@@ -116,15 +116,15 @@
 }
 
 /// Reports the target until it has left.
-async fn beats(
+async fn send_heartbeats(
     id: String,
     service: &'static str,
     app: SocketAddrV4,
     reports: SocketAddrV4,
-    state: Rc<State>,
+    state: Rc<TargetState>,
 ) {
     let client = ntex::client::Client::new().await;
-    let mut left = LEAVING;
+    let mut left = DRAIN_TIME;
     for seq in 1_u64.. {
         let draining = state.draining.get();
         let word =
@@ -138,14 +138,14 @@
         );
         state.acknowledged.set(state.acknowledged.get() || ok);
         if draining {
-            left = left.saturating_sub(HEARTBEAT);
+            left = left.saturating_sub(HEARTBEAT_INTERVAL);
             if left.is_zero() {
                 let url = format!("http://{reports}{}{id}", instances::DEREGISTER_PATH);
                 let _ = client.post(url).send().await;
                 return;
             }
         }
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -154,10 +154,10 @@
     service: &'static str,
     outbound: SocketAddrV4,
     sock: UdpSocket,
-    state: Rc<State>,
-    seen: Rc<RefCell<Report>>,
-    flows: HashMap<Flow, Open>,
-    runs: HashSet<String>,
+    state: Rc<TargetState>,
+    report: Rc<RefCell<Report>>,
+    flows: HashMap<Flow, TargetFlow>,
+    executed: HashSet<String>,
 }
 
 impl Server {
@@ -165,7 +165,7 @@
         let mut buf = [0; 2_048];
         while let Ok((n, _)) = self.sock.recv_from(&mut buf).await {
             if let Ok(seg) = packet::decode(&buf[..n]) {
-                self.take(&seg, &buf[..n]).await;
+                self.handle(&seg, &buf[..n]).await;
             }
         }
     }
@@ -176,15 +176,20 @@
         let _ = self.sock.send_to(&packet::encode(&seg, data), self.outbound).await;
     }
 
-    async fn take(&mut self, seg: &Segment, bytes: &[u8]) {
+    async fn handle(&mut self, seg: &Segment, bytes: &[u8]) {
         let flow = seg.flow_from_caller();
         let ack = Flags { ack: true, ..Flags::default() };
         if seg.opens_flow() {
             let open = self.flows.entry(flow).or_insert_with(|| {
-                *self.seen.borrow_mut().opened.entry(self.name.clone()).or_default() += 1;
-                Open { next: seg.seq.wrapping_add(1), seq: rand::random(), last: None }
+                *self.report.borrow_mut().flows_by_target.entry(self.name.clone()).or_default() +=
+                    1;
+                TargetFlow {
+                    expected_seq: seg.seq.wrapping_add(1),
+                    seq: rand::random(),
+                    last_response: None,
+                }
             });
-            let (seq, next) = (open.seq, open.next);
+            let (seq, next) = (open.seq, open.expected_seq);
             self.send(flow, Flags { syn: true, ..ack }, seq, next, &[]).await;
             return;
         }
@@ -198,23 +203,23 @@
             let (seq, next) = (open.seq.wrapping_add(1), seg.seq.wrapping_add(1));
             self.flows.remove(&flow);
             self.send(flow, Flags { fin: true, ..ack }, seq, next, &[]).await;
-        } else if seg.len > 0 && seg.seq == open.next {
-            open.next = open.next.wrapping_add(u32::from(seg.len));
+        } else if seg.len > 0 && seg.seq == open.expected_seq {
+            open.expected_seq = open.expected_seq.wrapping_add(u32::from(seg.len));
             let text = String::from_utf8_lossy(&bytes[packet::HEADER_LEN..]).into_owned();
-            tokio::time::sleep(WORK).await;
-            self.run(flow, &text).await;
-        } else if let (true, Some(last)) = (seg.len > 0, open.last.clone()) {
+            tokio::time::sleep(SERVICE_TIME).await;
+            self.execute(flow, &text).await;
+        } else if let (true, Some(last)) = (seg.len > 0, open.last_response.clone()) {
             let _ = self.sock.send_to(&last, self.outbound).await;
         }
     }
 
     /// Runs one request, `service id`, and answers it.
-    async fn run(&mut self, flow: Flow, text: &str) {
+    async fn execute(&mut self, flow: Flow, text: &str) {
         let (service, id) = text.split_once(' ').unwrap_or_default();
         {
-            let mut seen = self.seen.borrow_mut();
-            seen.foreign += u32::from(service != self.service);
-            seen.doubled += u32::from(!self.runs.insert(id.to_string()));
+            let mut report = self.report.borrow_mut();
+            report.foreign += u32::from(service != self.service);
+            report.duplicates += u32::from(!self.executed.insert(id.to_string()));
         }
         let Some(open) = self.flows.get_mut(&flow) else { return };
         let answer = format!("done {id} by {}", self.name);
@@ -222,10 +227,15 @@
         let fin = self.state.draining.get();
         let flags = Flags { ack: true, fin, ..Flags::default() };
         let seq = open.seq.wrapping_add(1);
-        let seg = Segment { src: flow.vip, dst: flow.caller, flags, seq, ack: open.next, len };
+        let seg = Segment { src: flow.vip, dst: flow.caller,
+            flags,
+            seq,
+            ack: open.expected_seq,
+            len,
+        };
         open.seq = open.seq.wrapping_add(u32::from(len));
         let bytes = packet::encode(&seg, answer.as_bytes());
-        open.last = Some(bytes.clone());
+        open.last_response = Some(bytes.clone());
         let _ = self.sock.send_to(&bytes, self.outbound).await;
     }
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -211,7 +211,7 @@
 
 /// Returns the version in force and whether the balancer watches only parts.
 async fn inspect(trial: &Trial, zone: u8, n: u8) -> Option<(u64, bool)> {
-    let at = trial.inspect(true, zone, n);
+    let at = trial.metrics_addr(true, zone, n);
     let client = ntex::client::Client::new().await;
     let text = |path: &str| {
         let url = format!("http://{at}/{path}");
@@ -258,12 +258,13 @@
 async fn changes_apply_despite_dead_relay() {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"));
     let dir = std::env::temp_dir().join(format!("jujubepost-relay-{}", std::process::id()));
-    let plan = Plan { base: 28_500, balancers: 3, targets: 1, idle_routes: 300, ..Plan::default() };
+    let plan =
+        Plan { base_port: 28_500, balancers: 3, targets: 1, idle_routes: 300, ..Plan::default() };
     let mut t = Trial::start(&exe, &dir, Plan { relay_kib: 16, ..plan }).await.unwrap();
     let all: Vec<(u8, u8)> = (0..2).flat_map(|z| (0..3).map(move |n| (z, n))).collect();
     wait_following(&t, 1, &all, 4).await;
     for version in 2..5 {
-        t.configure(version).await.unwrap();
+        t.write_config(version).await.unwrap();
         assert_eq!(wait_in_force(&t, version, &all).await, 4);
     }
     let mut relay = None;
@@ -275,7 +276,7 @@
     let (z, n) = relay.expect("a relay");
     let label = format!("entry-{z}-{n}");
     t.kill(&label);
-    t.configure(5).await.unwrap();
+    t.write_config(5).await.unwrap();
     let left: Vec<(u8, u8)> = all.iter().copied().filter(|b| *b != (z, n)).collect();
     wait_in_force(&t, 5, &left).await;
     t.launch(&label).unwrap();
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -6,7 +6,7 @@
 
 use jujubepost::platform::{config, kv};
 use jujubepost::store::{Faults, LeaseStore, WatchStore};
-use jujubepost::trial::{Hash, Plan, Report, Trial};
+use jujubepost::trial::{FlowHash, Plan, Report, Trial};
 use jujubepost::up::Signal;
 
 const MS: Duration = Duration::from_millis(1);
@@ -22,7 +22,7 @@
 
 /// What holds whatever happens.
 fn promises(r: &Report) {
-    assert_eq!(r.doubled, 0, "ran twice: {r}");
+    assert_eq!(r.duplicates, 0, "ran twice: {r}");
     assert_eq!(r.foreign, 0, "another service's request: {r}");
 }
 
@@ -45,14 +45,14 @@
 
 #[ntex::test]
 async fn calm_run() {
-    let plan = Plan { base: 26_000, secs: 3, ..Plan::default() };
+    let plan = Plan { base_port: 26_000, secs: 3, ..Plan::default() };
     let mut t = start("calm", plan).await;
     let r = t
-        .play(async |t: &mut Trial| {
+        .run_load(async |t: &mut Trial| {
             tokio::time::sleep(1_500 * MS).await;
             // What the processes say of themselves meanwhile.
-            let entry = t.inspect(true, 0, 0);
-            let sidecar = t.inspect(false, 0, 0);
+            let entry = t.metrics_addr(true, 0, 0);
+            let sidecar = t.metrics_addr(false, 0, 0);
             let text = get(format!("http://{sidecar}/metrics")).await;
             assert!(text.contains("jujubepost_answer_time_seconds_bucket"), "{text}");
             let text = get(format!("http://{entry}/metrics")).await;
@@ -79,16 +79,16 @@
 /// planned work breaks no flow.
 #[ntex::test]
 async fn planned_work() {
-    let plan = Plan { base: 26_100, secs: 12, ..Plan::default() };
+    let plan = Plan { base_port: 26_100, secs: 12, ..Plan::default() };
     let mut t = start("planned", plan).await;
     let r = t
-        .play(async |t: &mut Trial| {
+        .run_load(async |t: &mut Trial| {
             for label in ["entry-0-0", "sidecar-0-1", "entry-1-1", "sidecar-1-0"] {
                 tokio::time::sleep(500 * MS).await;
                 t.stop(label).await;
                 t.launch(label)?;
             }
-            t.drain("meter-2");
+            t.drain_target("meter-2");
             Ok(())
         })
         .await
@@ -102,19 +102,19 @@
 /// another service, and flows whose targets live go on.
 #[ntex::test]
 async fn killed_and_frozen() {
-    let plan = Plan { base: 26_200, secs: 10, hash: Hash::Steady, ..Plan::default() };
+    let plan = Plan { base_port: 26_200, secs: 10, hash: FlowHash::Rendezvous, ..Plan::default() };
     let mut t = start("killed", plan).await;
     let r = t
-        .play(async |t: &mut Trial| {
+        .run_load(async |t: &mut Trial| {
             for label in ["entry-0-1", "sidecar-0-0"] {
                 tokio::time::sleep(700 * MS).await;
                 t.kill(label);
                 tokio::time::sleep(300 * MS).await;
                 t.launch(label)?;
             }
-            t.send("sidecar-1-1", Signal::SIGSTOP);
+            t.signal("sidecar-1-1", Signal::SIGSTOP);
             tokio::time::sleep(1_000 * MS).await;
-            t.send("sidecar-1-1", Signal::SIGCONT);
+            t.signal("sidecar-1-1", Signal::SIGCONT);
             // All agents at once: every balancer's memory is all there is.
             let agents: Vec<_> = (0..3).map(|n| format!("sidecar-0-{n}")).collect();
             agents.iter().for_each(|label| t.kill(label));
@@ -130,7 +130,7 @@
 }
 
 async fn fault(t: &Trial, faults: &Faults) {
-    fault_at(t.store(), faults).await;
+    fault_at(t.store_addr(), faults).await;
 }
 
 async fn fault_at(store: std::net::SocketAddrV4, faults: &Faults) {
@@ -140,7 +140,7 @@
 }
 
 async fn store(t: &Trial) -> kv::Client {
-    kv::Client::new(t.store().into(), 1_000 * MS, 1_000 * MS).await.unwrap()
+    kv::Client::new(t.store_addr().into(), 1_000 * MS, 1_000 * MS).await.unwrap()
 }
 
 /// Waits until each data centre's `balancers` have `version` of the configuration in
@@ -151,7 +151,7 @@
     loop {
         let mut versions = Vec::new();
         for (z, n) in &all {
-            let told = get(format!("http://{}/beliefs", t.inspect(true, *z, *n))).await;
+            let told = get(format!("http://{}/beliefs", t.metrics_addr(true, *z, *n))).await;
             let told: serde_json::Value = serde_json::from_str(&told)?;
             versions.push(told["version"].as_u64());
         }
@@ -167,10 +167,10 @@
 /// answers; a change made right after its return is in force within 3 s.
 #[ntex::test]
 async fn store_troubles() {
-    let plan = Plan { base: 26_300, secs: 14, ..Plan::default() };
+    let plan = Plan { base_port: 26_300, secs: 14, ..Plan::default() };
     let mut t = start("store", plan).await;
     let r = t
-        .play(async |t: &mut Trial| {
+        .run_load(async |t: &mut Trial| {
             fault(t, &Faults { outage: true, ..Faults::default() }).await;
             tokio::time::sleep(4_000 * MS).await;
             fault(t, &Faults { clear_history: true, lost_responses: 2, ..Faults::default() }).await;
@@ -193,22 +193,22 @@
 #[ntex::test]
 async fn change_after_freeze() {
     let balancers = 8;
-    let plan = Plan { base: 27_400, balancers, ..Plan::default() };
+    let plan = Plan { base_port: 27_400, balancers, ..Plan::default() };
     let t = start("freeze", plan).await;
     let entries: Vec<_> = t.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
     for version in [2, 4] {
-        entries.iter().for_each(|label| t.send(label, Signal::SIGSTOP));
+        entries.iter().for_each(|label| t.signal(label, Signal::SIGSTOP));
         tokio::time::sleep(500 * MS).await;
-        t.configure(version).await.unwrap();
+        t.write_config(version).await.unwrap();
         tokio::time::sleep(4_500 * MS).await;
-        entries.iter().for_each(|label| t.send(label, Signal::SIGCONT));
+        entries.iter().for_each(|label| t.signal(label, Signal::SIGCONT));
         tokio::time::sleep(50 * MS).await;
-        t.configure(version + 1).await.unwrap();
+        t.write_config(version + 1).await.unwrap();
         in_force(&t, balancers, version + 1).await.unwrap();
     }
     let mut paused = 0.0;
     for (z, n) in (0..2).flat_map(|z| (0..balancers).map(move |n| (z, n))) {
-        let text = get(format!("http://{}/metrics", t.inspect(true, z, n))).await;
+        let text = get(format!("http://{}/metrics", t.metrics_addr(true, z, n))).await;
         assert!(total(&text, "store_age_ms") < 4_000.0, "{text}");
         paused += total(&text, "paused_ms");
     }
@@ -220,7 +220,7 @@
 /// balancer runs that knew them: the agents write them again.
 #[ntex::test]
 async fn entries_taken_away() {
-    let plan = Plan { base: 26_400, secs: 2, targets: 1, ..Plan::default() };
+    let plan = Plan { base_port: 26_400, secs: 2, targets: 1, ..Plan::default() };
     let mut t = start("taken", plan).await;
     let balancers = ["entry-0-0", "entry-0-1", "entry-1-0", "entry-1-1"];
     balancers.iter().for_each(|label| t.kill(label));
@@ -237,7 +237,7 @@
         tokio::time::sleep(100 * MS).await;
     }
     tokio::time::sleep(1_000 * MS).await;
-    let r = t.play(async |_: &mut Trial| Ok(())).await.unwrap();
+    let r = t.run_load(async |_: &mut Trial| Ok(())).await.unwrap();
     promises(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
     end("taken", t).await;
@@ -245,8 +245,8 @@
 
 /// Has the second target of the first service leave; its agent runs on.
 async fn drained(t: &Trial) {
-    t.drain("meter-1");
-    let agent = t.inspect(false, 0, 1);
+    t.drain_target("meter-1");
+    let agent = t.metrics_addr(false, 0, 1);
     let since = Instant::now();
     loop {
         let told = get(format!("http://{agent}/beliefs")).await;
@@ -264,12 +264,12 @@
 /// balancer that starts wait for an agent that is gone.
 #[ntex::test]
 async fn entry_removed_late() {
-    let plan = Plan { base: 28_600, targets: 2, ..Plan::default() };
+    let plan = Plan { base_port: 28_600, targets: 2, ..Plan::default() };
     let mut t = start("removed", plan).await;
     let client = store(&t).await;
     drained(&t).await;
     fault(&t, &Faults { outage: true, ..Faults::default() }).await;
-    let at = t.store();
+    let at = t.store_addr();
     let back = async {
         tokio::time::sleep(1_500 * MS).await;
         fault_at(at, &Faults::default()).await;
@@ -286,7 +286,7 @@
 /// searches of its service, and stay listed for minutes.
 #[ntex::test]
 async fn unlisted_without_target() {
-    let plan = Plan { base: 28_700, targets: 2, ..Plan::default() };
+    let plan = Plan { base_port: 28_700, targets: 2, ..Plan::default() };
     let mut t = start("unlisted", plan).await;
     let client = store(&t).await;
     drained(&t).await;
