--- a/src/model/caller.rs
+++ b/src/model/caller.rs
@@ -1,79 +1,81 @@
-//! A modelled caller's request: opens a flow, sends its bytes, takes the
-//! answer, tries again where that is allowed.
+//! Simulated caller: the state of its flow and of its current request. Timers and
+//! retries are in `caller_events`.
 
 use std::time::{Duration, Instant};
 
 use super::sender::Sender;
 use crate::flow::{Flags, Flow, Segment};
 
-/// Copies of an open are sent after these pauses.
+/// When an unanswered SYN is repeated, measured from the first.
 pub const SYN_REPEATS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
-/// When an open without an answer is given up.
+/// When a caller gives up opening a flow.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Further tries of one request at most.
+/// Maximum number of retries of a request.
 pub const MAX_RETRIES: u8 = 2;
 
-/// Pause before a further try.
+/// Delay before a retry.
 pub const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How far from the caller's last acknowledgement a reset of an open flow may
-/// lie.
+/// Maximum distance of a RST's sequence number from the next expected byte; a
+/// caller ignores other RSTs on an established flow.
 const RESET_WINDOW: u32 = 76_800;
 
-/// How far a try has come.
+/// State of a caller's flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerState {
-    /// The flow is being opened; so many copies were sent.
+    /// Opening; the number of repeated SYNs.
     Opening(u8),
-    /// A request is on its way or being worked on.
+    /// Waiting for a response.
     Waiting,
-    /// The flow is open and nothing is asked.
+    /// Established without a pending request.
     Idle,
 }
 
-/// One caller with its flow.
+/// A caller and its flow.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Which of the site's classes.
+    /// Index of the request class in [`Site::classes`](super::Site::classes).
     pub class: usize,
-    /// Its data centre.
+    /// Data centre.
     pub zone: u8,
-    /// Its flow.
+    /// Current flow.
     pub flow: Flow,
-    /// How far it has come.
+    /// State of the flow.
     pub state: CallerState,
-    /// When the present request began.
+    /// When the current request began, before any retries.
     pub request_start: Instant,
-    /// Tries of it that have ended.
+    /// Retries of the current request so far.
     pub retries: u8,
-    /// Counts what it does, so that old timers are told.
+    /// Incremented with each step, so that timers of earlier steps are ignored.
     pub generation: u32,
-    /// The request's bytes.
+    /// Sender of the current request.
     pub sender: Sender,
-    /// First sequence number.
+    /// Initial sequence number.
     isn: u32,
-    /// Next byte expected of the target.
+    /// Next byte expected from the target.
     next: u32,
-    /// Bytes of the answer that are still to come.
+    /// Bytes of the response not yet received.
     pub remaining: u32,
-    /// The target refuses the present request as not run.
+    /// Whether the target sheds the current request.
     pub shed: bool,
+    /// Packets received since the last acknowledgement was sent.
     unacked_packets: u8,
 }
 
 impl Caller {
-    /// A caller of `class` that opens `flow` for a request since `since`.
+    /// Creates a caller of `class` that is about to open `flow` for a request
+    /// that began at `request_start`.
     #[must_use]
-    pub const fn new(class: usize, zone: u8, flow: Flow, since: Instant) -> Self {
+    pub const fn new(class: usize, zone: u8, flow: Flow, request_start: Instant) -> Self {
         let isn = 1_000;
         Self {
             class,
             zone,
             flow,
             state: CallerState::Opening(0),
-            request_start: since,
+            request_start,
             retries: 0,
             generation: 0,
             sender: Sender::new(isn + 1, 0),
@@ -85,11 +87,11 @@
         }
     }
 
-    /// The packet that opens its flow, the `copy`-th of it.
+    /// The SYN that opens the flow. Its acknowledgement field counts the repeats.
     #[must_use]
-    pub fn syn(&self, copy: u8) -> Segment {
+    pub fn syn(&self, repeat: u8) -> Segment {
         let flags = Flags { syn: true, ..Flags::default() };
-        Segment { ack: copy.into(), ..self.segment(flags, self.isn) }
+        Segment { ack: repeat.into(), ..self.segment(flags, self.isn) }
     }
 
     fn segment(&self, flags: Flags, seq: u32) -> Segment {
@@ -97,22 +99,23 @@
         Segment { src: caller, dst: service, flags, seq, ack: self.next, len: 0 }
     }
 
-    /// The target agreed to open the flow.
+    /// Takes the target's initial sequence number from its SYN-ACK.
     pub const fn receive_syn_ack(&mut self, seq: u32) {
         self.next = seq.wrapping_add(1);
     }
 
-    /// Asks for `answer` bytes with a request of `len`.
-    pub const fn start_request(&mut self, len: u32, answer: u32) {
+    /// Starts a request of `len` bytes with a response of `response_len` bytes.
+    pub const fn start_request(&mut self, len: u32, response_len: u32) {
         self.state = CallerState::Waiting;
         self.generation += 1;
-        let from = self.sender.end();
-        self.sender = Sender::new(from, len);
-        self.remaining = answer;
+        let start = self.sender.end();
+        self.sender = Sender::new(start, len);
+        self.remaining = response_len;
         self.shed = false;
     }
 
-    /// The packets that its window has room for.
+    /// Appends the packets that the send window allows to `out`, with the length
+    /// of their data.
     pub fn ready_packets(&mut self, out: &mut Vec<(Segment, u32)>) {
         let ack = Flags { ack: true, ..Flags::default() };
         while let Some((seq, len)) = self.sender.next_packet() {
@@ -120,22 +123,22 @@
         }
     }
 
-    /// The acknowledgement that opens the flow, or of what has come.
+    /// An acknowledgement of all bytes received so far.
     #[must_use]
     pub fn ack(&self) -> Segment {
         let flags = Flags { ack: true, ..Flags::default() };
         self.segment(flags, self.sender.end())
     }
 
-    /// The packet that ends the flow.
+    /// The FIN that closes the flow.
     #[must_use]
     pub fn fin(&self) -> Segment {
         let flags = Flags { fin: true, ack: true, ..Flags::default() };
         self.segment(flags, self.sender.end())
     }
 
-    /// Whether a reset at position `seq` is taken: any is before the flow is
-    /// open, then only one close to what the target has sent.
+    /// Whether to accept a RST with sequence number `seq`: always while opening,
+    /// afterwards only close to the next expected byte.
     #[must_use]
     pub const fn accepts_reset(&self, seq: u32) -> bool {
         let (ahead, behind) = (seq.wrapping_sub(self.next), self.next.wrapping_sub(seq));
@@ -144,7 +147,7 @@
             || behind <= RESET_WINDOW
     }
 
-    /// Takes data of the target; says whether to acknowledge it.
+    /// Receives `len` bytes at `seq`; returns whether to acknowledge them now.
     pub const fn receive(&mut self, seq: u32, len: u32) -> bool {
         if seq != self.next || len > self.remaining {
             return true;
@@ -152,10 +155,10 @@
         self.next = self.next.wrapping_add(len);
         self.remaining -= len;
         self.unacked_packets += 1;
-        let tell = self.unacked_packets >= 2 || self.remaining == 0;
-        if tell {
+        let ack_now = self.unacked_packets >= 2 || self.remaining == 0;
+        if ack_now {
             self.unacked_packets = 0;
         }
-        tell
+        ack_now
     }
 }
--- a/src/model/caller_events.rs
+++ b/src/model/caller_events.rs
@@ -1,4 +1,4 @@
-//! What callers do during a run: they open flows, ask, and try again.
+//! Callers' timers and received packets: opening flows, sending requests, retries.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
@@ -13,16 +13,18 @@
 use crate::platform::packet;
 
 impl Simulation {
-    pub(super) fn new_caller(&mut self, class: usize, zone: u8, since: Instant) -> Caller {
+    /// A caller with an unused address, whose request began at `request_start`.
+    pub(super) fn new_caller(&mut self, class: usize, zone: u8, request_start: Instant) -> Caller {
         let n = self.callers_created;
         self.callers_created += 1;
         let ip = Ipv4Addr::new(100, 64, zone, (n >> 15 & 0xff) as u8);
-        // Below the highest port.
+        // At most 33,791.
         let port = 1_024 + (n & 0x7fff) as u16;
         let flow = Flow { caller: SocketAddrV4::new(ip, port), vip: vip(class) };
-        Caller::new(class, zone, flow, since)
+        Caller::new(class, zone, flow, request_start)
     }
 
+    /// Starts a request of an open-loop class and schedules the next one.
     pub(super) fn next_arrival(&mut self, class: usize) {
         let Workload::OpenLoop { rate } = self.site.classes[class].workload else { return };
         if self.now >= self.start + self.site.load_duration {
@@ -42,14 +44,14 @@
         caller.state = CallerState::Opening(0);
         let (addr, generation, zone) = (caller.flow.caller, caller.generation, caller.zone);
         let syn = caller.syn(0);
-        let limit = caller.request_start + self.site.classes[caller.class].timeout;
+        let deadline = caller.request_start + self.site.classes[caller.class].timeout;
         self.callers.insert(addr, caller);
         self.send_to_balancer(zone, &syn, 0);
-        for (n, pause) in (1..).zip(SYN_REPEATS) {
+        for (n, delay) in (1..).zip(SYN_REPEATS) {
             self.events
-                .push(self.now + pause, Event::CallerStep(addr, generation, Step::RepeatSyn(n)));
+                .push(self.now + delay, Event::CallerStep(addr, generation, Step::RepeatSyn(n)));
         }
-        let at = (self.now + OPEN_TIMEOUT).min(limit.max(self.now));
+        let at = (self.now + OPEN_TIMEOUT).min(deadline.max(self.now));
         self.events.push(at, Event::CallerStep(addr, generation, Step::OpenTimeout));
     }
 
@@ -83,15 +85,14 @@
         if c.state != CallerState::Waiting || c.sender.all_acked() {
             return;
         }
-        let waited = c.sender.rto();
-        let pause =
-            if c.sender.acked_since(self.now - waited) { waited } else { c.sender.retransmit() };
+        let rto = c.sender.rto();
+        let delay = if c.sender.acked_since(self.now - rto) { rto } else { c.sender.retransmit() };
         let generation = c.generation;
-        self.events.push(self.now + pause, Event::CallerStep(addr, generation, Step::Retransmit));
+        self.events.push(self.now + delay, Event::CallerStep(addr, generation, Step::Retransmit));
         self.send_request_packets(addr);
     }
 
-    /// Sends what the window of a request has room for.
+    /// Sends the packets of a request that the send window allows.
     fn send_request_packets(&mut self, addr: SocketAddrV4) {
         let Some(c) = self.callers.get_mut(&addr) else { return };
         let zone = c.zone;
@@ -103,9 +104,9 @@
     }
 
     fn next_request(&mut self, addr: SocketAddrV4) {
-        let over = self.now >= self.start + self.site.load_duration;
+        let load_ended = self.now >= self.start + self.site.load_duration;
         let Some(c) = self.callers.get_mut(&addr) else { return };
-        if over {
+        if load_ended {
             let (zone, fin) = (c.zone, c.fin());
             self.send_to_balancer(zone, &fin, 0);
             self.callers.remove(&addr);
@@ -120,10 +121,11 @@
         let Some(c) = self.callers.get_mut(&addr) else { return };
         let class = &self.site.classes[c.class];
         c.start_request(class.request_bytes, class.response_bytes);
-        let (generation, limit) = (c.generation, (c.request_start + class.timeout).max(self.now));
-        let resend = self.now + c.sender.rto();
-        self.events.push(resend, Event::CallerStep(addr, generation, Step::Retransmit));
-        self.events.push(limit, Event::CallerStep(addr, generation, Step::RequestTimeout));
+        let (generation, deadline) =
+            (c.generation, (c.request_start + class.timeout).max(self.now));
+        let retransmit_at = self.now + c.sender.rto();
+        self.events.push(retransmit_at, Event::CallerStep(addr, generation, Step::Retransmit));
+        self.events.push(deadline, Event::CallerStep(addr, generation, Step::RequestTimeout));
         self.send_request_packets(addr);
     }
 
@@ -139,13 +141,13 @@
                 return;
             }
             let opening = matches!(c.state, CallerState::Opening(_));
-            let (stage, flow) = (c.state, c.flow);
+            let (state, flow) = (c.state, c.flow);
             if !opening && self.agents.iter().any(|a| a.has_open_flow(flow)) {
                 self.stats.broken += 1;
             }
-            match stage {
+            match state {
                 CallerState::Idle => {
-                    // Opens a new flow for its next request.
+                    // The next request needs a new flow.
                     self.reopen(addr);
                 }
                 _ => self.retry_or_give_up(addr, opening),
@@ -161,21 +163,21 @@
             }
             return;
         }
-        let room = c.sender.acknowledge(seg.ack, self.now);
-        let asking = c.state == CallerState::Waiting;
-        if room && asking {
+        let window_opened = c.sender.acknowledge(seg.ack, self.now);
+        let waiting = c.state == CallerState::Waiting;
+        if window_opened && waiting {
             self.send_request_packets(addr);
         }
-        if seg.len == 0 || !asking {
+        if seg.len == 0 || !waiting {
             return;
         }
         let Some(c) = self.callers.get_mut(&addr) else { return };
-        let tell = c.receive(seg.seq, seg.len.into());
-        let (missing, ack) = (c.remaining, c.ack());
-        if tell {
+        let ack_now = c.receive(seg.seq, seg.len.into());
+        let (remaining, ack) = (c.remaining, c.ack());
+        if ack_now {
             self.send_to_balancer(zone, &ack, 0);
         }
-        if missing == 0 {
+        if remaining == 0 {
             self.finish_response(addr);
         }
     }
@@ -183,54 +185,61 @@
     fn finish_response(&mut self, addr: SocketAddrV4) {
         let Some(c) = self.callers.get(&addr) else { return };
         if c.shed {
-            // As good as a flow that never opened: nothing ran.
+            // Not executed, so it can be retried like an unopened flow.
             self.retry_or_give_up(addr, true);
             return;
         }
-        let aim = self.site.classes[c.class].latency_goal;
-        let end = if self.now.duration_since(c.request_start) <= aim {
+        let goal = self.site.classes[c.class].latency_goal;
+        let outcome = if self.now.duration_since(c.request_start) <= goal {
             Outcome::Served
         } else {
             Outcome::Late
         };
-        self.finish_request(addr, end);
+        self.finish_request(addr, outcome);
     }
 
-    /// A try failed; `opening` if its flow never opened, so that nothing ran.
+    /// Handles a failed attempt; `opening` if its flow was never established, so
+    /// that the request was not executed and any class may retry.
     fn retry_or_give_up(&mut self, addr: SocketAddrV4, opening: bool) {
         let Some(c) = self.callers.get_mut(&addr) else { return };
         let class = &self.site.classes[c.class];
-        let may = opening || class.idempotent;
+        let is_safe = opening || class.idempotent;
         let in_time = self.now + RETRY_DELAY < c.request_start + class.timeout;
-        if !may || c.retries >= MAX_RETRIES || !in_time {
-            let end = if opening { Outcome::Refused } else { Outcome::Lost };
-            self.finish_request(addr, end);
+        if !is_safe || c.retries >= MAX_RETRIES || !in_time {
+            let outcome = if opening { Outcome::Refused } else { Outcome::Lost };
+            self.finish_request(addr, outcome);
             return;
         }
         c.retries += 1;
         self.reopen_after(addr, RETRY_DELAY);
     }
 
-    /// Ends the present request; users of feeds go on.
-    fn finish_request(&mut self, addr: SocketAddrV4, end: Outcome) {
+    /// Records the outcome of the current request. Closed-loop users continue
+    /// after their think time.
+    fn finish_request(&mut self, addr: SocketAddrV4, outcome: Outcome) {
         let Some(c) = self.callers.get_mut(&addr) else { return };
         let class = &self.site.classes[c.class];
-        let from = c.request_start.duration_since(self.start);
-        self.stats.record_request(c.class, from, self.now.duration_since(c.request_start), end);
+        let began = c.request_start.duration_since(self.start);
+        self.stats.record_request(
+            c.class,
+            began,
+            self.now.duration_since(c.request_start),
+            outcome,
+        );
         c.generation += 1;
         c.state = CallerState::Idle;
-        let answered = matches!(end, Outcome::Served | Outcome::Late);
+        let answered = matches!(outcome, Outcome::Served | Outcome::Late);
         let (generation, zone, fin) = (c.generation, c.zone, c.fin());
         match class.workload {
-            Workload::ClosedLoop { think_time: pause, .. } => {
-                let at = pause.mul_f64(self.rng.random_range(0.5..1.5));
+            Workload::ClosedLoop { think_time, .. } => {
+                let delay = think_time.mul_f64(self.rng.random_range(0.5..1.5));
                 if answered {
                     self.events.push(
-                        self.now + at,
+                        self.now + delay,
                         Event::CallerStep(addr, generation, Step::NextRequest),
                     );
                 } else {
-                    self.reopen_after(addr, at);
+                    self.reopen_after(addr, delay);
                 }
             }
             Workload::OpenLoop { .. } => {
@@ -240,26 +249,27 @@
         }
     }
 
+    /// Opens a new flow for the next request of an idle caller.
     fn reopen(&mut self, addr: SocketAddrV4) {
-        let pause = match self.callers.get(&addr).map(|c| self.site.classes[c.class].workload) {
-            Some(Workload::ClosedLoop { think_time: pause, .. }) => {
-                pause.mul_f64(self.rng.random_range(0.5..1.5))
+        let delay = match self.callers.get(&addr).map(|c| self.site.classes[c.class].workload) {
+            Some(Workload::ClosedLoop { think_time, .. }) => {
+                think_time.mul_f64(self.rng.random_range(0.5..1.5))
             }
             _ => RETRY_DELAY,
         };
-        self.reopen_after(addr, pause);
+        self.reopen_after(addr, delay);
     }
 
-    /// Gives the caller a new flow, which it opens after a pause. A request that
-    /// has ended begins anew then.
-    fn reopen_after(&mut self, addr: SocketAddrV4, pause: Duration) {
+    /// Replaces the caller's flow by a new one, opened after `delay`: for the
+    /// current request or, if that has ended, for the next one.
+    fn reopen_after(&mut self, addr: SocketAddrV4, delay: Duration) {
         let Some(old) = self.callers.remove(&addr) else { return };
-        let at = self.now + pause;
-        let since = if old.state == CallerState::Idle { at } else { old.request_start };
-        if since >= self.start + self.site.load_duration && old.state == CallerState::Idle {
+        let at = self.now + delay;
+        let request_start = if old.state == CallerState::Idle { at } else { old.request_start };
+        if request_start >= self.start + self.site.load_duration && old.state == CallerState::Idle {
             return;
         }
-        let mut next = self.new_caller(old.class, old.zone, since);
+        let mut next = self.new_caller(old.class, old.zone, request_start);
         next.generation = old.generation + 1;
         next.retries = if old.state == CallerState::Idle { 0 } else { old.retries };
         let (addr, generation) = (next.flow.caller, next.generation);
--- a/src/model/event_queue.rs
+++ b/src/model/event_queue.rs
@@ -1,5 +1,5 @@
-//! Events in the order of their time; those of one time in the order in which
-//! they were put in, so that one seed gives one run.
+//! Priority queue of events by time. Events of the same time come out in the order
+//! of their insertion, which keeps runs deterministic.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Events to come.
+/// Pending events.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
@@ -52,13 +52,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Puts `event` in at its time.
+    /// Schedules `event` for time `at`.
     pub fn push(&mut self, at: Instant, event: E) {
         self.seq += 1;
         self.heap.push(Reverse(Entry { at, seq: self.seq, event }));
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the earliest event and its time.
     pub fn pop(&mut self) -> Option<(Instant, E)> {
         self.heap.pop().map(|Reverse(e)| (e.at, e.event))
     }
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,5 +1,5 @@
-//! A modelled process on its VM's share of a core: what comes waits in queues
-//! as long as those of a socket, and each datagram in or out costs time.
+//! A simulated VM with one process: a share of a CPU core, bounded socket buffers
+//! and a link in each direction. Each datagram sent or received takes CPU time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -7,54 +7,56 @@
 
 use super::link::Link;
 
-/// Processor time of one datagram, in or out, on a whole core.
+/// CPU time to send or receive one datagram on a whole core.
 const DATAGRAM_COST: Duration = Duration::from_micros(15);
 
-/// Datagrams that a socket keeps for a process that does not read: 212 KB, of
-/// which each takes some 800 bytes.
+/// Capacity of a socket's receive buffer, in datagrams; more are dropped.
 const QUEUE: usize = 256;
 
-/// Datagrams read at one wake-up from each socket, as the product does.
+/// Datagrams read from each socket per wake-up.
 const READ_BATCH: usize = 64;
 
-/// What a process reads at one wake-up.
+/// Input of a process at one wake-up.
 #[derive(Debug, Default)]
 pub struct InputBatch {
-    /// Packets of callers (balancers) or of the target (agents).
+    /// Packets from callers (at a balancer) or from the target (at an agent).
     pub packets: Vec<Vec<u8>>,
-    /// Messages of other processes, and from whom they are.
+    /// Messages from other balancers and agents, with their senders.
     pub messages: Vec<(SocketAddrV4, Vec<u8>)>,
 }
 
-/// A process's VM: its core, its link and its two sockets.
+/// A VM with one process and its two sockets.
 #[derive(Debug)]
 pub struct Host {
-    /// Its share of a core.
+    /// Share of a CPU core.
     cpu_share: f64,
     /// Whether the process runs.
     pub up: bool,
-    /// Counts its starts, so that events of earlier ones are told.
+    /// Incremented when the process stops, so that events scheduled for an
+    /// earlier run of it can be recognised.
     pub epoch: u64,
-    /// Datagrams of callers (balancers) or of the target (agents).
+    /// Receive buffer for packets.
     packets: VecDeque<Vec<u8>>,
-    /// Messages of other processes.
+    /// Receive buffer for messages.
     messages: VecDeque<(SocketAddrV4, Vec<u8>)>,
-    /// When it next runs.
+    /// When the process is scheduled to run next.
     pub next_wake: Option<Instant>,
+    /// When the CPU has finished its current work.
     free_at: Instant,
-    /// From the network.
+    /// Link from the network.
     pub ingress: Link,
-    /// To the network.
+    /// Link to the network.
     pub egress: Link,
 }
 
 impl Host {
-    /// A running process with `cpu` of a core and links of `mbps`.
+    /// Creates a running process with the share `cpu_share` of a core and links
+    /// of `mbps` Mbit/s.
     #[must_use]
-    pub fn new(cpu: f64, mbps: f64, now: Instant) -> Self {
+    pub fn new(cpu_share: f64, mbps: f64, now: Instant) -> Self {
         let link = Link::new(mbps, now);
         Self {
-            cpu_share: cpu,
+            cpu_share,
             up: true,
             epoch: 1,
             packets: VecDeque::new(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The process ends; what it had not read is gone.
+    /// Ends the process and discards its unread input.
     pub fn stop(&mut self) {
         self.up = false;
         self.epoch += 1;
@@ -75,35 +77,37 @@
         self.messages.clear();
     }
 
-    /// The process starts again.
+    /// Restarts the process with an idle CPU.
     pub const fn start(&mut self, now: Instant) {
         self.up = true;
         self.free_at = now;
     }
 
-    /// A packet has come; one too many is lost.
+    /// Appends a packet to its receive buffer, or drops it if the buffer is full
+    /// or the process is down.
     pub fn enqueue_packet(&mut self, packet: Vec<u8>) {
         if self.up && self.packets.len() < QUEUE {
             self.packets.push_back(packet);
         }
     }
 
-    /// A message has come; one too many is lost.
+    /// Appends a message to its receive buffer, or drops it if the buffer is full
+    /// or the process is down.
     pub fn enqueue_message(&mut self, from: SocketAddrV4, message: Vec<u8>) {
         if self.up && self.messages.len() < QUEUE {
             self.messages.push_back((from, message));
         }
     }
 
-    /// Has the process wake up at `at`, or once its core is free; says when, unless
-    /// it does not run or wakes up earlier anyway.
+    /// Schedules a wake-up at `at`, or once the CPU is free, and returns its time.
+    /// `None` if the process is down or already due no later.
     pub fn schedule_wake(&mut self, at: Instant) -> Option<Instant> {
         let at = self.earliest_run(at);
         let sooner = self.up && self.next_wake.is_none_or(|next| at < next);
         sooner.then(|| *self.next_wake.insert(at))
     }
 
-    /// What it reads at one wake-up.
+    /// Removes the input of one wake-up from the receive buffers.
     pub fn read_batch(&mut self) -> InputBatch {
         InputBatch {
             packets: self.packets.drain(..self.packets.len().min(READ_BATCH)).collect(),
@@ -111,27 +115,28 @@
         }
     }
 
-    /// Whether every message that has come was read.
+    /// Whether no message is left unread.
     #[must_use]
     pub fn messages_drained(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// Whether something waits to be read.
+    /// Whether a packet or message is left unread.
     #[must_use]
     pub fn has_input(&self) -> bool {
         !self.packets.is_empty() || !self.messages.is_empty()
     }
 
-    /// Works on so many datagrams from `now` on; says when it is done.
+    /// Charges the CPU time for `datagrams` from `now` on; returns when the CPU is
+    /// free again.
     pub fn spend_cpu(&mut self, datagrams: usize, now: Instant) -> Instant {
-        // At most a few thousand.
+        // A wake-up handles at most a few thousand datagrams.
         let n = u32::try_from(datagrams).unwrap_or(u32::MAX);
         self.free_at = now + DATAGRAM_COST.mul_f64(f64::from(n) / self.cpu_share);
         self.free_at
     }
 
-    /// When it can run for something that is due at `at`.
+    /// Earliest time at which the process can handle what is due at `at`.
     #[must_use]
     pub fn earliest_run(&self, at: Instant) -> Instant {
         at.max(self.free_at)
--- a/src/model/lifecycle.rs
+++ b/src/model/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What changes during a run: processes that end and start, routers that ask,
-//! targets that report, the store and the pattern's changes.
+//! Process starts and stops, readiness probes, target reports, store reads, and
+//! the changes that a pattern schedules.
 
 use std::time::{Duration, Instant};
 
@@ -13,20 +13,20 @@
 };
 use crate::tracker::Report;
 
-/// How long a balancer that stops as planned forwards on, as the product does.
+/// How long a balancer keeps forwarding after a planned stop begins.
 const LINGER_TIME: Duration = Duration::from_millis(1_500);
 
-/// From an agent's order to stop to its end: its target finishes what it works
-/// on.
+/// How long an agent runs on after a planned stop begins, while its target
+/// completes requests.
 const STOP_TIME: Duration = Duration::from_millis(200);
 
-/// How long an agent whose target has left answers on, as the product does.
+/// How long an agent keeps answering after its target has exited for good.
 const RETIRE_LINGER: Duration = Duration::from_millis(600);
 
-/// From the end of a planned stop to the next start.
+/// Delay between the exit of a process at a planned stop and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Processes that get power back start within this of each other.
+/// After a power loss each process starts after a random delay up to this.
 const POWER_ON_JITTER: Duration = Duration::from_millis(300);
 
 impl Simulation {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A target reports itself to its agent, if that runs.
+    /// Handles a target's report; it is repeated sooner while the agent is down.
     fn report_target(&mut self, n: usize, epoch: u64) {
         let a = &mut self.agents[n];
         if !a.target.up || a.target.epoch != epoch {
@@ -57,7 +57,7 @@
         }
         a.target.reports += 1;
         let (service, seq) = (a.service, a.target.reports);
-        let pause = if a.host.up { REPORT_INTERVAL } else { REPORT_RETRY };
+        let delay = if a.host.up { REPORT_INTERVAL } else { REPORT_RETRY };
         if a.host.up {
             let cold = self.agents[n].target.warm_at.saturating_duration_since(self.now);
             let report = Report { warmup: cold, ..self.target_report(service, epoch, seq) };
@@ -67,7 +67,7 @@
             }
             self.wake_agent(n, self.now);
         }
-        self.events.push(self.now + pause, Event::TargetReport(n, epoch));
+        self.events.push(self.now + delay, Event::TargetReport(n, epoch));
     }
 
     fn probe_readiness(&mut self) {
@@ -83,7 +83,7 @@
         self.events.push(self.now + PROBE_INTERVAL, Event::ReadinessProbe);
     }
 
-    /// A balancer that has started reads the store, or tries again.
+    /// A balancer reads the store, or tries again later while that is down.
     fn read_store_or_retry(&mut self, n: usize, epoch: u64) {
         if self.balancers[n].host.epoch != epoch {
             return;
@@ -109,11 +109,11 @@
             return;
         }
         let service = self.agents[n].service;
-        // The store tells for which start of the target the last process took
-        // flows.
-        let before = self.target_report(service, self.agents[n].registered_epoch, 1).incarnation;
+        // The store entry names the target process that the previous agent process
+        // served.
+        let registered = self.target_report(service, self.agents[n].registered_epoch, 1).incarnation;
         let mut holder = self.new_holder(service);
-        holder.set_predecessor(Some(before), self.now);
+        holder.set_predecessor(Some(registered), self.now);
         let a = &mut self.agents[n];
         a.holder = holder;
         a.probing = false;
@@ -131,31 +131,30 @@
         self.events.push(self.now + REPORT_RETRY, Event::TargetReport(n, epoch));
     }
 
-    /// The first `part` of `all`, at least one.
-    fn count_of(part: f64, all: usize) -> usize {
-        // Between 1 and the number of processes.
-        ((part * all as f64).round() as usize).clamp(1, all)
+    /// Number of processes that a share of `all` processes comes to; at least one.
+    fn count_of(share: f64, all: usize) -> usize {
+        ((share * all as f64).round() as usize).clamp(1, all)
     }
 
     fn begin_change(&mut self, change: Change) {
         let ends = self.now + change.duration();
         match change {
             Change::PowerLoss(_) => self.lose_power(ends),
-            Change::KillBalancers(part, _) => {
-                for n in 0..Self::count_of(part, self.balancers.len()) {
+            Change::KillBalancers(share, _) => {
+                for n in 0..Self::count_of(share, self.balancers.len()) {
                     self.balancers[n].host.stop();
                     self.events.push(ends, Event::StartBalancer(n));
                 }
             }
-            Change::KillAgents(part, _) => {
-                for n in 0..Self::count_of(part, self.agents.len()) {
+            Change::KillAgents(share, _) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
                     self.agents[n].host.stop();
                     self.events.push(ends, Event::StartAgent(n));
                 }
             }
             Change::RestartBalancers(gap) => {
                 for n in 0..self.balancers.len() {
-                    // A handful of balancers.
+                    // Sites have far fewer than `u32::MAX` processes.
                     let at = self.now + gap * n as u32;
                     let epoch = self.balancers[n].host.epoch;
                     self.events.push(at, Event::StopBalancer(n, epoch));
@@ -169,26 +168,24 @@
             }
             Change::RestartAgents(gap) => {
                 for n in 0..self.agents.len() {
-                    // Some dozens of agents.
                     self.events.push(self.now + gap * n as u32, Event::StopAgent(n));
                 }
             }
-            Change::RetireTargets(part, gap) => {
-                for n in 0..Self::count_of(part, self.agents.len()) {
-                    // Some dozens of agents.
+            Change::RetireTargets(share, gap) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
                     self.events.push(self.now + gap * n as u32, Event::RetireTarget(n));
                 }
             }
-            Change::CrashTargets(part, _) => {
-                for n in 0..Self::count_of(part, self.agents.len()) {
+            Change::CrashTargets(share, _) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
                     self.agents[n].target.crash();
                     self.events.push(ends, Event::StartTarget(n));
                 }
             }
-            Change::SlowTargets(part, x, _) => self.set_slowdown(part, x),
+            Change::SlowTargets(share, factor, _) => self.set_slowdown(share, factor),
             Change::StoreOutage(_) => self.set_store_up(false, self.now),
-            Change::LoadBurst(x, _) => self.load_factor = x,
-            Change::PacketLoss(part, _) => self.loss_rate = part,
+            Change::LoadBurst(factor, _) => self.load_factor = factor,
+            Change::PacketLoss(rate, _) => self.loss_rate = rate,
         }
         if change.duration() > Duration::ZERO {
             self.events.push(ends, Event::EndChange(change));
@@ -197,7 +194,7 @@
 
     fn end_change(&mut self, change: Change) {
         match change {
-            Change::SlowTargets(part, _, _) => self.set_slowdown(part, 1.0),
+            Change::SlowTargets(share, _, _) => self.set_slowdown(share, 1.0),
             Change::StoreOutage(_) => self.set_store_up(true, self.now),
             Change::LoadBurst(..) => self.load_factor = 1.0,
             Change::PacketLoss(..) => self.loss_rate = 0.0,
@@ -205,19 +202,20 @@
         }
     }
 
-    fn set_slowdown(&mut self, part: f64, x: f64) {
-        for n in 0..Self::count_of(part, self.agents.len()) {
-            self.agents[n].target.slowdown = x;
+    fn set_slowdown(&mut self, share: f64, factor: f64) {
+        for n in 0..Self::count_of(share, self.agents.len()) {
+            self.agents[n].target.slowdown = factor;
         }
     }
 
-    fn set_store_up(&mut self, answers: bool, now: Instant) {
-        self.store_up = answers;
+    fn set_store_up(&mut self, up: bool, now: Instant) {
+        self.store_up = up;
         for b in &mut self.balancers {
-            b.steer.set_store_reachable(answers, now);
+            b.steer.set_store_reachable(up, now);
         }
     }
 
+    /// All processes exit and restart shortly after `back`.
     fn lose_power(&mut self, back: Instant) {
         for n in 0..self.balancers.len() {
             self.balancers[n].host.stop();
@@ -234,8 +232,8 @@
         }
     }
 
-    /// A planned stop: the balancer says that it is not ready and lingers; the
-    /// second time its process ends.
+    /// Planned stop of a balancer: the first event makes it not ready, the second,
+    /// [`LINGER_TIME`] later, ends the process.
     fn stop_balancer(&mut self, n: usize, epoch: u64) {
         let b = &mut self.balancers[n];
         if b.host.epoch != epoch {
@@ -250,7 +248,7 @@
         }
     }
 
-    /// A planned stop of an agent.
+    /// Begins a planned stop of an agent.
     fn stop_agent(&mut self, n: usize) {
         let a = &mut self.agents[n];
         if !a.host.up {
@@ -273,8 +271,8 @@
         self.events.push(self.now + RESTART_DELAY, Event::StartAgent(n));
     }
 
-    /// A target says goodbye and ends, its agent takes its entry out of the store,
-    /// stays until balancers know, and the VM goes.
+    /// A target exits for good: its agent removes its store entry and stays until
+    /// balancers have read the change.
     fn retire_target(&mut self, n: usize) {
         let mut out = Outbox::default();
         let a = &mut self.agents[n];
@@ -286,7 +284,8 @@
         self.notify_store_change();
     }
 
-    /// An agent's entry in the store changed.
+    /// Schedules a read of the store by every balancer, after an agent's entry has
+    /// changed.
     fn notify_store_change(&mut self) {
         for b in 0..self.balancers.len() {
             let epoch = self.balancers[b].host.epoch;
--- a/src/model/link.rs
+++ b/src/model/link.rs
@@ -1,35 +1,34 @@
-//! A link of one VM: a delay, a bandwidth with a queue of bounded length, and
-//! loss.
+//! A VM's network link: limited bandwidth, a bounded queue and random loss.
 
 use std::time::{Duration, Instant};
 
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Bytes of a datagram beside its contents: IPv4 and UDP heads.
+/// IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// Longest time that a datagram waits for its turn: some 250 packets of 1,200
-/// bytes at 10 Mbit/s, as in the queues of entry VMs.
+/// Longest queueing delay; a datagram that would wait longer is dropped.
 const MAX_QUEUE_DELAY: Duration = Duration::from_millis(240);
 
-/// One direction of a VM's link.
+/// One direction of a VM's network link.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Bytes a second.
     bytes_per_s: f64,
+    /// When the datagrams accepted so far have been transmitted.
     idle_at: Instant,
 }
 
 impl Link {
-    /// A link of `mbps` megabits a second.
+    /// Creates an idle link with a bandwidth of `mbps` Mbit/s.
     #[must_use]
     pub fn new(mbps: f64, now: Instant) -> Self {
         Self { bytes_per_s: mbps * 125_000.0, idle_at: now }
     }
 
-    /// Sends `bytes` at `now`; says when the last of them has left, or that the
-    /// queue is full or the datagram lost, which happens to a part `loss`.
+    /// Queues a datagram of `bytes` at `now` and returns when it has been
+    /// transmitted. `None` if the queue is full or the datagram is lost, which
+    /// happens with probability `loss`.
     pub fn send(
         &mut self,
         bytes: usize,
@@ -37,12 +36,13 @@
         now: Instant,
         rng: &mut StdRng,
     ) -> Option<Instant> {
-        let from = self.idle_at.max(now);
-        if from.duration_since(now) > MAX_QUEUE_DELAY {
+        let start = self.idle_at.max(now);
+        if start.duration_since(now) > MAX_QUEUE_DELAY {
             return None;
         }
-        let took = Duration::from_secs_f64((bytes + HEADER_BYTES) as f64 / self.bytes_per_s);
-        self.idle_at = from + took;
+        let transmission =
+            Duration::from_secs_f64((bytes + HEADER_BYTES) as f64 / self.bytes_per_s);
+        self.idle_at = start + transmission;
         (loss == 0.0 || !rng.random_bool(loss)).then_some(self.idle_at)
     }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,10 +1,9 @@
-//! A site without a network: the product's own decisions ([`crate::steering`],
-//! [`crate::tracker`]) between modelled callers, routers, targets, links and
-//! processors, on a virtual clock.
+//! Discrete-event simulation of a site: the real [`crate::steering`] and
+//! [`crate::tracker`] logic between simulated callers, routers, targets, links and
+//! CPUs, on a virtual clock.
 //!
-//! One seed gives one run. [`pattern`] names the loads and troubles, and
-//! [`play`] plays one of them. `docs/MODEL.md` says what the model holds and
-//! what it leaves out.
+//! A run depends only on the [`Pattern`], the policy and the seed; see
+//! [`simulate`]. `docs/MODEL.md` lists what is simulated and what is left out.
 
 pub mod caller;
 mod caller_events;
--- a/src/model/network.rs
+++ b/src/model/network.rs
@@ -1,4 +1,5 @@
-//! What the processes send, on its way through links and routers.
+//! Delivery of messages and packets: link transmission, propagation delay and the
+//! routers' choice of a balancer.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -11,11 +12,13 @@
 use crate::flow::{Flow, Segment};
 use crate::platform::packet;
 
-/// Delay between a caller and a VM of its data centre.
+/// One-way delay between a caller and a VM.
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
-/// Delay between two VMs of one data centre, and of two.
+/// One-way delay between two VMs of one data centre.
 const INTRA_ZONE_DELAY: Duration = Duration::from_micros(100);
+
+/// One-way delay between VMs of different data centres.
 const INTER_ZONE_DELAY: Duration = Duration::from_micros(1_400);
 
 impl Simulation {
@@ -30,57 +33,57 @@
         }
     }
 
-    fn count_message(&mut self, carries: bool, bytes: usize) {
-        if !carries {
+    fn count_message(&mut self, carries_packet: bool, bytes: usize) {
+        if !carries_packet {
             self.stats.messages += 1;
             self.stats.message_bytes += bytes as u64;
         }
     }
 
-    /// A balancer that has done its work at `at` sends `out`.
+    /// Sends the outbox of balancer `n`, whose CPU finishes the wake-up at `at`.
     pub(super) fn flush_balancer(&mut self, n: usize, out: Outbox, at: Instant) {
-        for sent in out.0 {
-            self.send_from_balancer(n, sent, at);
+        for outgoing in out.0 {
+            self.send_from_balancer(n, outgoing, at);
         }
     }
 
-    /// An agent that has done its work at `at` sends `out`.
+    /// Sends the outbox of agent `n`, whose CPU finishes the wake-up at `at`.
     pub(super) fn flush_agent(&mut self, n: usize, out: Outbox, at: Instant) {
-        for sent in out.0 {
-            self.send_from_agent(n, sent, at);
+        for outgoing in out.0 {
+            self.send_from_agent(n, outgoing, at);
         }
     }
 
-    fn send_from_balancer(&mut self, n: usize, sent: Outgoing, at: Instant) {
+    fn send_from_balancer(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.balancers[n].zone;
-        match sent {
-            Outgoing::Peer { to, bytes, carries_packet: carries } => {
-                self.count_message(carries, bytes.len());
+        match outgoing {
+            Outgoing::Peer { to, bytes, carries_packet } => {
+                self.count_message(carries_packet, bytes.len());
                 let link = &mut self.balancers[n].host.egress;
-                if let Some(left) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
-                    let arrives = left + Self::zone_delay(zone, self.peer_zone(to));
-                    self.events.push(arrives, Event::ToPeer(to, balancer_addr(n), bytes));
+                if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
+                    let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
+                    self.events.push(arrival, Event::ToPeer(to, balancer_addr(n), bytes));
                 }
             }
             Outgoing::Reset(bytes) => {
                 let link = &mut self.balancers[n].host.egress;
-                if let Some(left) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
-                    self.events.push(left + CALLER_DELAY, Event::ToCaller(bytes));
+                if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
+                    self.events.push(sent_at + CALLER_DELAY, Event::ToCaller(bytes));
                 }
             }
             Outgoing::Target(_) | Outgoing::Caller(_) => {}
         }
     }
 
-    fn send_from_agent(&mut self, n: usize, sent: Outgoing, at: Instant) {
+    fn send_from_agent(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.agents[n].zone;
-        match sent {
-            Outgoing::Peer { to, bytes, carries_packet: carries } => {
-                self.count_message(carries, bytes.len());
+        match outgoing {
+            Outgoing::Peer { to, bytes, carries_packet } => {
+                self.count_message(carries_packet, bytes.len());
                 let link = &mut self.agents[n].host.egress;
-                if let Some(left) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
-                    let arrives = left + Self::zone_delay(zone, self.peer_zone(to));
-                    self.events.push(arrives, Event::ToPeer(to, agent_addr(n), bytes));
+                if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
+                    let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
+                    self.events.push(arrival, Event::ToPeer(to, agent_addr(n), bytes));
                 }
             }
             Outgoing::Target(packet) => {
@@ -94,8 +97,8 @@
 
     fn send_to_caller(&mut self, n: usize, packet: Vec<u8>, at: Instant) {
         let link = &mut self.agents[n].host.egress;
-        if let Some(left) = link.send(packet.len(), self.loss_rate, at, &mut self.rng) {
-            self.events.push(left + CALLER_DELAY, Event::ToCaller(packet));
+        if let Some(sent_at) = link.send(packet.len(), self.loss_rate, at, &mut self.rng) {
+            self.events.push(sent_at + CALLER_DELAY, Event::ToCaller(packet));
         }
     }
 
@@ -103,7 +106,7 @@
         match peer_index(to) {
             (true, n) => {
                 let link = &mut self.balancers[n].host.ingress;
-                // Comes through the queue of the VM's link before it is read.
+                // The message passes the VM's inbound link before it can be read.
                 if let Some(at) = link.send(bytes.len(), 0.0, self.now, &mut self.rng) {
                     self.balancers[n].host.enqueue_message(from, bytes);
                     self.wake_balancer(n, at);
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Hands a caller's packet to a balancer of its data centre.
+    /// Sends a caller's packet, with `len` bytes of data, to the balancer that the
+    /// routers of data centre `zone` choose.
     pub(super) fn send_to_balancer(&mut self, zone: u8, seg: &Segment, len: u32) {
         let Some(n) = self.pick_balancer(zone, seg.flow_from_caller()) else { return };
         let data = vec![0; len as usize];
@@ -128,21 +132,26 @@
         }
     }
 
+    /// Routers choose among the balancers in rotation of data centre `zone` or, if
+    /// there are none, of all data centres.
     fn pick_balancer(&self, zone: u8, flow: Flow) -> Option<usize> {
-        let near = |b: &Balancer| b.zone == zone && b.in_rotation;
-        let mut of: Vec<usize> =
-            (0..self.balancers.len()).filter(|n| near(&self.balancers[*n])).collect();
-        if of.is_empty() {
-            of = (0..self.balancers.len()).filter(|n| self.balancers[*n].in_rotation).collect();
+        let is_local = |b: &Balancer| b.zone == zone && b.in_rotation;
+        let mut candidates: Vec<usize> =
+            (0..self.balancers.len()).filter(|n| is_local(&self.balancers[*n])).collect();
+        if candidates.is_empty() {
+            candidates =
+                (0..self.balancers.len()).filter(|n| self.balancers[*n].in_rotation).collect();
         }
-        if of.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         match self.site.flow_hash {
-            // Below the number of balancers.
-            FlowHash::Modulo => Some(of[(flow.hash64() % of.len() as u64) as usize]),
+            // The remainder is less than the number of balancers.
+            FlowHash::Modulo => {
+                Some(candidates[(flow.hash64() % candidates.len() as u64) as usize])
+            }
             FlowHash::Rendezvous => {
-                of.into_iter().max_by_key(|n| flow.preference(balancer_addr(*n)))
+                candidates.into_iter().max_by_key(|n| flow.preference(balancer_addr(*n)))
             }
         }
     }
--- a/src/model/outbox.rs
+++ b/src/model/outbox.rs
@@ -1,5 +1,5 @@
-//! What the product's decisions send, kept until the process that decided has
-//! done its work.
+//! Collects what a balancer or agent sends during a wake-up, until the CPU time of
+//! the wake-up has passed.
 
 use std::net::SocketAddrV4;
 
@@ -8,44 +8,44 @@
 use crate::protocol::{self, Message};
 use crate::{steering, tracker};
 
-/// One thing sent.
+/// An outgoing message or packet.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
     /// A message to a balancer or agent.
     Peer {
-        /// To whom.
+        /// Destination.
         to: SocketAddrV4,
-        /// The message, encoded, with the packet after it.
+        /// The encoded message, followed by the packet it carries, if any.
         bytes: Vec<u8>,
-        /// It hands a packet to the agent that holds its flow.
+        /// Whether it forwards a packet to the agent that holds the flow.
         carries_packet: bool,
     },
     /// A packet to the target.
     Target(Vec<u8>),
-    /// A packet to a caller.
+    /// A packet from the target to a caller.
     Caller(Vec<u8>),
-    /// A reset to a caller.
+    /// A RST to a caller.
     Reset(Vec<u8>),
 }
 
-/// Everything sent at one wake-up.
+/// Everything sent during one wake-up, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox(pub Vec<Outgoing>);
 
 impl Outbox {
-    fn message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
+    fn push_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         let mut bytes = Vec::new();
-        let carries = message.is_forward_to_owner();
+        let carries_packet = message.is_forward_to_owner();
         match protocol::encode(message, packet, &mut bytes) {
-            Ok(()) => self.0.push(Outgoing::Peer { to, bytes, carries_packet: carries }),
-            Err(e) => log::error!(to:% = to, error:% = e; "message not encoded"),
+            Ok(()) => self.0.push(Outgoing::Peer { to, bytes, carries_packet }),
+            Err(e) => log::error!(to:% = to, error:% = e; "message could not be encoded; dropped"),
         }
     }
 }
 
 impl steering::Transmit for Outbox {
     fn send_to_agent(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.message(to, message, packet);
+        self.push_message(to, message, packet);
     }
 
     fn send_reset(&mut self, flow: Flow, seq: u32) {
@@ -67,6 +67,6 @@
     }
 
     fn send_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
-        self.message(to, message, packet);
+        self.push_message(to, message, packet);
     }
 }
--- a/src/model/pattern.rs
+++ b/src/model/pattern.rs
@@ -1,43 +1,45 @@
-//! Patterns of load and trouble, as named data.
+//! The named patterns: a site and a schedule of faults and other changes.
 
 use std::time::Duration;
 
 use super::site::{FlowHash, Site};
 
-/// A change of the site during a run.
+/// A change of the site during a run. A share is between 0 and 1 and always means
+/// at least one process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Every VM loses power, for as long.
+    /// All VMs lose power for the given time.
     PowerLoss(Duration),
-    /// A part of the balancers is killed; they are back after as long.
+    /// This share of the balancers is killed and starts again after the given
+    /// time.
     KillBalancers(f64, Duration),
-    /// A part of the agents is killed; they are back after as long.
+    /// This share of the agents is killed and starts again after the given time.
     KillAgents(f64, Duration),
-    /// Balancers are stopped as planned and started again, one after the other
-    /// with this pause.
+    /// Rolling restart of all balancers, one per interval.
     RestartBalancers(Duration),
-    /// A balancer joins each data centre.
+    /// One balancer is added to each data centre.
     JoinBalancers,
-    /// Agents are stopped as planned and started again, one after the other with
-    /// this pause; their targets stay.
+    /// Rolling restart of all agents, one per interval; their targets keep
+    /// running.
     RestartAgents(Duration),
-    /// A part of the targets ends for good with its VM, one after the other with
-    /// this pause.
+    /// This share of the targets exits for good with its VMs, one per interval.
     RetireTargets(f64, Duration),
-    /// A part of the targets crashes; they start again after as long.
+    /// This share of the targets crashes and starts again after the given time.
     CrashTargets(f64, Duration),
-    /// A part of the targets works this many times slower, for as long.
+    /// This share of the targets is slower by a factor for the given time.
     SlowTargets(f64, f64, Duration),
-    /// The store does not answer for as long.
+    /// The store does not answer for the given time.
     StoreOutage(Duration),
-    /// This many times the callers' usual fresh requests, for as long.
+    /// The arrival rate of open-loop requests is multiplied by a factor for the
+    /// given time.
     LoadBurst(f64, Duration),
-    /// A part of all datagrams is lost, for as long.
+    /// Links drop datagrams with this probability for the given time.
     PacketLoss(f64, Duration),
 }
 
 impl Change {
-    /// How long its cause lasts.
+    /// How long the change lasts; zero for those that have no end or are over
+    /// after their last step.
     #[must_use]
     pub const fn duration(&self) -> Duration {
         match self {
@@ -57,28 +59,29 @@
     }
 }
 
-/// A named pattern.
+/// A named scenario to simulate.
 #[derive(Clone, Debug)]
 pub struct Pattern {
-    /// Its name.
+    /// Unique name, as on the command line and in reports.
     pub name: &'static str,
-    /// What it stands for, and the grounds for its figures.
+    /// What happens, for reports.
     pub description: &'static str,
-    /// The site.
+    /// The site and its load.
     pub site: Site,
-    /// What changes, and when.
+    /// Changes and when they begin, measured from the start of the run.
     pub changes: Vec<(Duration, Change)>,
 }
 
 impl Pattern {
-    /// When the last cause has ended.
+    /// When the last change ends, measured from the start of the run. For rolling
+    /// restarts and the like, when it begins.
     #[must_use]
     pub fn last_change_end(&self) -> Duration {
         let ends = self.changes.iter().map(|(at, change)| *at + change.duration());
         ends.max().unwrap_or_default()
     }
 
-    /// The pattern of this name.
+    /// The predefined pattern of this name, if there is one.
     #[must_use]
     pub fn by_name(name: &str) -> Option<Self> {
         all().into_iter().find(|p| p.name == name)
@@ -93,105 +96,106 @@
     Duration::from_millis(millis)
 }
 
-/// Every pattern.
+/// All predefined patterns.
 #[must_use]
 pub fn all() -> Vec<Pattern> {
     let at = |at, change| vec![(at, change)];
     vec![
         Pattern {
             name: "calm",
-            description: "Nothing happens: what a quiet hour costs.",
+            description: "No faults: the baseline.",
             site: Site::small(),
             changes: Vec::new(),
         },
         Pattern {
             name: "calm_grown",
-            description: "The same on 62 VMs.",
+            description: "No faults on a site of 62 VMs.",
             site: Site::grown(),
             changes: Vec::new(),
         },
         Pattern {
             name: "power",
-            description: "All VMs lose power for 0.9 s, the middle of what operators ask to bear: \
-                    every caller comes again at once and no process remembers a flow.",
+            description: "All VMs lose power for 0.9 s: all callers reconnect at once and no \
+                          process remembers a flow.",
             site: Site::small(),
             changes: at(s(4), Change::PowerLoss(ms(900))),
         },
         Pattern {
             name: "power_grown",
-            description: "The same on 62 VMs with links of 30 Mbit/s and 0.12 of a core.",
+            description: "Power loss on a site of 62 VMs whose balancers have links of 30 Mbit/s \
+                          and 0.12 of a core.",
             site: Site::grown(),
             changes: at(s(4), Change::PowerLoss(ms(900))),
         },
         Pattern {
             name: "power_narrow",
-            description: "The same on 15 VMs whose entry links carry 4 Mbit/s, twice what their \
-                    callers need.",
+            description: "Power loss on a site of 15 VMs whose balancers have links of 4 Mbit/s, \
+                          twice what the load needs.",
             site: Site::small().with_link_mbps(4.0),
             changes: at(s(4), Change::PowerLoss(ms(900))),
         },
         Pattern {
             name: "join_grown",
             description: "A balancer joins each data centre: routers move nearly all flows to \
-                    balancers that have never seen them.",
+                          balancers that have never seen them.",
             site: Site::grown(),
             changes: at(s(4), Change::JoinBalancers),
         },
         Pattern {
             name: "roll_grown",
-            description: "All balancers are stopped and started in turn, 0.5 s apart, as in a \
-                    release: each stop and each start moves a data centre's flows.",
+            description: "Rolling restart of all balancers, one every 0.5 s: each stop and each \
+                          start moves nearly all flows of a data centre.",
             site: Site::grown(),
             changes: at(s(3), Change::RestartBalancers(ms(500))),
         },
         Pattern {
             name: "roll_steady",
-            description: "The same with routers that move only the flows of one balancer.",
+            description: "Rolling restart of all balancers with routers that use rendezvous \
+                          hashing, so that only the flows of one balancer move.",
             site: Site { flow_hash: FlowHash::Rendezvous, ..Site::grown() },
             changes: at(s(3), Change::RestartBalancers(ms(500))),
         },
         Pattern {
             name: "kill",
-            description: "Half of the balancers are killed and back within 1 s.",
+            description: "Half of the balancers are killed and start again after 1 s.",
             site: Site::grown(),
             changes: at(s(4), Change::KillBalancers(0.5, s(1))),
         },
         Pattern {
             name: "agents",
-            description: "Half of the agents are killed and back within 0.5 s: they no longer know \
-                    which flows their targets hold.",
+            description: "Half of the agents are killed and start again after 0.5 s, without \
+                          knowing which flows their targets hold.",
             site: Site::grown(),
             changes: at(s(4), Change::KillAgents(0.5, ms(500))),
         },
         Pattern {
             name: "crash",
-            description: "A third of the targets crashes for 3 s: their flows are gone.",
+            description: "A third of the targets crashes for 3 s and loses its flows.",
             site: Site::small(),
             changes: at(s(4), Change::CrashTargets(0.3, s(3))),
         },
         Pattern {
             name: "slow",
-            description: "A tenth of the targets works five times slower for 5 s, as operators say \
-                    of VMs that turn slow.",
+            description: "A seventh of the targets is five times slower for 5 s.",
             site: Site::small(),
             changes: at(s(3), Change::SlowTargets(0.15, 5.0, s(5))),
         },
         Pattern {
             name: "burst",
-            description: "Three times the fresh requests for 3 s: targets are full.",
+            description: "Three times the arrival rate for 3 s: targets are full.",
             site: Site::small(),
             changes: at(s(4), Change::LoadBurst(3.0, s(3))),
         },
         Pattern {
             name: "burst_grown",
-            description: "The same on 62 VMs.",
+            description: "Three times the arrival rate for 3 s on a site of 62 VMs.",
             site: Site::grown(),
             changes: at(s(4), Change::LoadBurst(3.0, s(3))),
         },
         Pattern {
             name: "store",
-            description: "The store is away for 4 s while half of the balancers are killed: they \
-                    come back without a configuration.",
+            description: "The store is down for 4 s while half of the balancers are killed and \
+                          start again without a configuration.",
             site: Site::small(),
             changes: vec![
                 (s(3), Change::StoreOutage(s(4))),
@@ -200,10 +204,10 @@
         },
         Pattern {
             name: "churn_dense",
-            description: "Targets of 2 slots, two thirds busy: balancers are killed three times, \
-                    a seventh of the targets turns slow, two thirds more callers come for \
-                    2.4 s, and then balancers are stopped in turn, one trouble into the \
-                    next, as on a busy day of a site that grew.",
+            description: "Targets of 2 slots, two thirds busy. Faults overlap: balancers are \
+                          killed three times, a seventh of the targets turns slow, the arrival \
+                          rate rises by two thirds for 2.4 s, and balancers are restarted in \
+                          turn.",
             site: Site::dense(),
             changes: vec![
                 (ms(1_700), Change::KillBalancers(0.08, s(2))),
@@ -216,9 +220,9 @@
         },
         Pattern {
             name: "leave_dense",
-            description: "Targets leave one after the other, one a second as in a release, while \
-                    every balancer and agent is killed and back within 0.5 s: nobody \
-                    remembers a flow, and some agent is always on its way out.",
+            description: "Targets leave for good, one per second, while all balancers and agents \
+                          are killed and start again after 0.5 s: no process remembers a flow \
+                          and some agent is always leaving.",
             site: Site::dense(),
             changes: vec![
                 (s(3), Change::RetireTargets(0.1, s(1))),
@@ -228,8 +232,8 @@
         },
         Pattern {
             name: "power_release_large",
-            description: "All VMs lose power for 1.4 s in the middle of a release: 196 VMs start \
-                    anew while a target leaves each second, as it did before.",
+            description: "All VMs lose power for 1.4 s during a release: 196 VMs start again \
+                          while a target leaves each second.",
             site: Site { load_duration: s(14), ..Site::large() },
             changes: vec![
                 (s(2), Change::RetireTargets(0.1, s(1))),
@@ -238,9 +242,8 @@
         },
         Pattern {
             name: "roll_agents_dense",
-            description: "Agents are stopped and started in turn, six a second, and balancers too, \
-                    two a second, as in a release of this program: some agent is always \
-                    restarting.",
+            description: "Rolling restart of agents, one every 0.15 s, and of balancers, one \
+                          every 0.5 s: some agent is always restarting.",
             site: Site::dense(),
             changes: vec![
                 (s(3), Change::RestartAgents(ms(150))),
@@ -249,7 +252,7 @@
         },
         Pattern {
             name: "lossy",
-            description: "Five of a hundred datagrams are lost for 5 s.",
+            description: "Five percent of all datagrams are lost for 5 s.",
             site: Site::grown(),
             changes: at(s(3), Change::PacketLoss(0.05, s(5))),
         },
--- a/src/model/sender.rs
+++ b/src/model/sender.rs
@@ -1,41 +1,42 @@
-//! One direction of a modelled flow: bytes sent with a window, acknowledged,
-//! and sent again when nothing is heard.
+//! Sending side of a flow: a fixed window, cumulative acknowledgements and
+//! retransmission with exponential backoff.
 
 use std::time::{Duration, Instant};
 
-/// Largest packet's data, in bytes.
+/// Maximum segment size, in bytes.
 pub const MSS: u32 = 1_200;
 
-/// Packets in flight at most.
+/// Maximum number of packets in flight.
 const WINDOW_PACKETS: u32 = 16;
 
-/// First pause before unacknowledged packets are sent again.
+/// Initial retransmission timeout.
 const INITIAL_RTO: Duration = Duration::from_millis(200);
 
-/// Longest such pause.
+/// Upper bound of the retransmission timeout.
 const MAX_RTO: Duration = Duration::from_millis(1_600);
 
-/// What one end sends.
+/// Sender of one message: a request or a response.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
-    /// Where its bytes begin and end.
+    /// Sequence number of the first byte.
     start: u32,
+    /// Sequence number after the last byte.
     end: u32,
     /// First byte that is not acknowledged.
     acked: u32,
-    /// First byte that was never sent.
+    /// Next byte to send.
     next: u32,
-    pause: Duration,
-    /// When it was last heard that bytes have come.
+    rto: Duration,
+    /// When an acknowledgement last advanced the window.
     last_ack: Option<Instant>,
 }
 
 impl Sender {
-    /// `len` bytes from position `start` on.
+    /// Sends `len` bytes from sequence number `start` on.
     #[must_use]
     pub const fn new(start: u32, len: u32) -> Self {
         let end = start.wrapping_add(len);
-        Self { start, end, acked: start, next: start, pause: INITIAL_RTO, last_ack: None }
+        Self { start, end, acked: start, next: start, rto: INITIAL_RTO, last_ack: None }
     }
 
     /// Whether every byte is acknowledged.
@@ -44,29 +45,31 @@
         self.acked == self.end
     }
 
-    /// Position after the last byte.
+    /// Sequence number after the last byte.
     #[must_use]
     pub const fn end(&self) -> u32 {
         self.end
     }
 
-    /// Takes an acknowledgement up to `ack`; says whether it is news.
+    /// Processes an acknowledgement up to `ack`; returns whether it acknowledges
+    /// new bytes.
     pub const fn acknowledge(&mut self, ack: u32, now: Instant) -> bool {
-        let new = ack.wrapping_sub(self.start);
-        let news =
-            new > self.acked.wrapping_sub(self.start) && new <= self.end.wrapping_sub(self.start);
-        if news {
+        let acked_len = ack.wrapping_sub(self.start);
+        let advances = acked_len > self.acked.wrapping_sub(self.start)
+            && acked_len <= self.end.wrapping_sub(self.start);
+        if advances {
             self.acked = ack;
             self.last_ack = Some(now);
-            self.pause = INITIAL_RTO;
-            if self.next.wrapping_sub(self.start) < new {
+            self.rto = INITIAL_RTO;
+            if self.next.wrapping_sub(self.start) < acked_len {
                 self.next = ack;
             }
         }
-        news
+        advances
     }
 
-    /// The next packet that the window has room for, as position and length.
+    /// Sequence number and length of the next packet, unless all bytes were sent
+    /// or the window is full.
     pub fn next_packet(&mut self) -> Option<(u32, u32)> {
         let left = self.end.wrapping_sub(self.next);
         if left == 0 || self.next.wrapping_sub(self.acked) >= WINDOW_PACKETS * MSS {
@@ -77,23 +80,23 @@
         Some(packet)
     }
 
-    /// Nothing was heard for a pause: what is not acknowledged is sent again.
-    /// Returns the pause until the next time.
+    /// Goes back to the first unacknowledged byte and doubles the retransmission
+    /// timeout, which is returned.
     pub fn retransmit(&mut self) -> Duration {
         self.next = self.acked;
-        self.pause = (self.pause * 2).min(MAX_RTO);
-        self.pause
+        self.rto = (self.rto * 2).min(MAX_RTO);
+        self.rto
     }
 
-    /// Whether an acknowledgement came after `since`.
+    /// Whether an acknowledgement advanced the window after `since`.
     #[must_use]
     pub fn acked_since(&self, since: Instant) -> bool {
         self.last_ack.is_some_and(|at| at > since)
     }
 
-    /// The pause until packets are sent again.
+    /// The current retransmission timeout.
     #[must_use]
     pub const fn rto(&self) -> Duration {
-        self.pause
+        self.rto
     }
 }
--- a/src/model/setup.rs
+++ b/src/model/setup.rs
@@ -1,5 +1,5 @@
-//! A run's beginning: VMs, targets and callers of a site, and what a process
-//! knows when it starts.
+//! Initial state of a run: the VMs, targets and callers of a site, and what a
+//! process reads from the store when it starts.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
 impl Simulation {
     pub(super) fn new(site: &Site, policy: &Policy, seed: u64) -> Self {
         let now = Instant::now();
-        let mut world = Self {
+        let mut sim = Self {
             site: site.clone(),
             policy: policy.clone(),
             now,
@@ -41,15 +41,15 @@
             store_up: true,
             stats: Stats::default(),
         };
-        world.populate();
-        world
+        sim.populate();
+        sim
     }
 
     fn populate(&mut self) {
         let site = self.site.clone();
         for (service, s) in site.services.iter().enumerate() {
             for i in 0..s.targets {
-                // Below the number of data centres.
+                // Less than the number of data centres.
                 let zone = (i % u16::from(site.zones)) as u8;
                 let mut agent = Agent {
                     host: Host::new(site.agent_cpu, AGENT_MBPS, self.now),
@@ -87,10 +87,10 @@
 
     fn start_workload(&mut self, class: usize, c: &RequestClass) {
         match c.workload {
-            Workload::ClosedLoop { users, think_time: pause } => {
+            Workload::ClosedLoop { users, think_time } => {
                 for user in 0..users {
                     let zone = (user % u32::from(self.site.zones)) as u8;
-                    let at = self.now + pause.mul_f64(self.rng.random());
+                    let at = self.now + think_time.mul_f64(self.rng.random());
                     let caller = self.new_caller(class, zone, at);
                     let addr = caller.flow.caller;
                     self.callers.insert(addr, caller);
@@ -144,7 +144,7 @@
         Routes { version: 1, by_address: routes.collect(), idle_timeout: Duration::from_secs(15) }
     }
 
-    /// A balancer learns what the store says now.
+    /// A balancer reads routes and agents from the store.
     pub(super) fn read_store(&mut self, n: usize) {
         let listed: Vec<ListedAgent> = self
             .agents
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -1,5 +1,5 @@
-//! The run: events of the network, the processes, the targets and the callers
-//! in the order of their time.
+//! The event loop: the state of a simulated site, its events, and the wake-ups
+//! of balancer and agent processes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -26,134 +26,148 @@
 /// Delay between an agent and the target on its VM.
 pub(super) const LOCAL_DELAY: Duration = Duration::from_micros(50);
 
-/// How often routers ask a balancer whether it is ready; two misses take it out.
+/// Interval of the routers' readiness probes; a balancer that misses two in a row
+/// leaves rotation.
 pub(super) const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often a target reports itself, and tries again where nobody answers.
+/// Interval of a target's reports to its agent.
 pub(super) const REPORT_INTERVAL: Duration = Duration::from_millis(770);
+
+/// Delay before a target repeats a report that its agent did not answer.
 pub(super) const REPORT_RETRY: Duration = Duration::from_millis(100);
 
-/// From a change in the store to the balancers' knowing it: the product gathers
-/// changes for 0.3 s, and an answer takes 4 ms.
+/// Delay from a write to the store until balancers have read it, including the
+/// time for which changes are batched.
 pub(super) const STORE_DELAY: Duration = Duration::from_millis(320);
 
-/// From a process's start to its knowing what the store says.
+/// Delay from the start of a process until it has read the store.
 pub(super) const BOOT_TIME: Duration = Duration::from_millis(60);
 
-/// Link of an agent's VM, in Mbit/s.
+/// Link bandwidth of an agent's VM, in Mbit/s.
 pub(super) const AGENT_MBPS: f64 = 1_000.0;
 
-/// How long after the load a run goes on, so that the last requests end.
+/// How long a run continues after the load has ended, so that the last requests
+/// complete.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// What happens at a time.
+/// A simulation event. A `usize` is the index of a balancer, or of an agent and
+/// its target; a `u64` is the epoch of the process for which the event was
+/// scheduled.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A caller's packet comes to a balancer.
+    /// A caller's packet arrives at a balancer.
     ToBalancer(usize, Vec<u8>),
-    /// A message comes to the process at an address.
+    /// A message arrives: destination, source and encoded bytes.
     ToPeer(SocketAddrV4, SocketAddrV4, Vec<u8>),
-    /// A packet comes to a target.
+    /// A packet arrives at a target.
     ToTarget(usize, Vec<u8>),
-    /// A packet of a target comes to its agent.
+    /// A packet from a target arrives at its agent.
     FromTarget(usize, Vec<u8>),
-    /// A packet comes to its caller.
+    /// A packet arrives at its caller.
     ToCaller(Vec<u8>),
-    /// A balancer wakes up.
+    /// A balancer process runs.
     WakeBalancer(usize),
-    /// An agent wakes up.
+    /// An agent process runs.
     WakeAgent(usize),
-    /// An agent learns whether its target's port is open.
+    /// An agent's probe of its target's port completes.
     PortProbed(usize, u64),
-    /// A target has done the work on a request.
+    /// A target has finished executing a request.
     RequestDone(usize, Timer),
-    /// A target has heard nothing since it sent its answer.
+    /// The retransmission timer of a target's response expires.
     Retransmit(usize, Timer),
-    /// A caller's next step.
+    /// A timer of the caller at an address, with the caller's generation.
     CallerStep(SocketAddrV4, u32, Step),
-    /// A request of a class begins on a flow of its own.
+    /// The next request of an open-loop class begins.
     Arrival(usize),
     /// A target's report is due.
     TargetReport(usize, u64),
-    /// Routers ask the balancers.
+    /// Routers probe the readiness of all balancers.
     ReadinessProbe,
     /// A balancer reads the store.
     ReadStore(usize, u64),
-    /// A balancer that stops as planned has lingered.
+    /// A balancer begins a planned stop or, if it has begun one, exits.
     StopBalancer(usize, u64),
-    /// An agent is told to stop, and its process ends.
+    /// An agent begins a planned stop.
     StopAgent(usize),
+    /// A stopping agent hands its flows over and exits.
     EndAgent(usize, u64),
-    /// A target ends for good, and its VM goes.
+    /// A target exits for good.
     RetireTarget(usize),
+    /// The agent of a retired target exits, and its VM is removed.
     RemoveAgent(usize),
-    /// A process starts again.
+    /// A balancer process starts again.
     StartBalancer(usize),
+    /// An agent process starts again.
     StartAgent(usize),
+    /// A target process starts again.
     StartTarget(usize),
-    /// A change of the pattern, and its end.
+    /// A change of the pattern begins.
     BeginChange(Change),
+    /// A change of the pattern ends.
     EndChange(Change),
 }
 
-/// What a caller does after a pause.
+/// What a caller does when one of its timers expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Sends a copy of its open.
+    /// Repeats its SYN, for the n-th time.
     RepeatSyn(u8),
-    /// Gives its open up.
+    /// Gives up opening its flow.
     OpenTimeout,
-    /// Sends its request's packets again.
+    /// Retransmits the unacknowledged packets of its request.
     Retransmit,
-    /// Reaches its time limit.
+    /// Gives up its request.
     RequestTimeout,
-    /// Asks again on its open flow.
+    /// Sends the next request on its open flow.
     NextRequest,
-    /// Tries again on a new flow.
+    /// Opens a new flow.
     OpenFlow,
 }
 
-/// A balancer with its VM.
+/// A balancer and its VM.
 pub(super) struct Balancer {
     pub(super) host: Host,
     pub(super) steer: FlowSteering,
     pub(super) zone: u8,
-    /// Whether routers hand it flows, and how often it was not ready since.
+    /// Whether routers send it packets.
     pub(super) in_rotation: bool,
+    /// Readiness probes missed in a row.
     pub(super) missed_probes: u8,
 }
 
-/// An agent with its VM and target.
+/// An agent, its VM and its target.
 pub(super) struct Agent {
     pub(super) host: Host,
     pub(super) holder: FlowTracker,
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
-    /// The target's start that its entry in the store names.
+    /// Epoch of the target that the agent's store entry names.
     pub(super) registered_epoch: u64,
+    /// A probe of the target's port is in progress.
     pub(super) probing: bool,
-    /// It goes for good, with its VM.
+    /// The target was retired and the VM is being removed.
     pub(super) removed: bool,
 }
 
 impl Agent {
-    /// Whether its target holds `flow` open.
+    /// Whether `flow` is established at its target.
     pub(super) fn has_open_flow(&self, flow: Flow) -> bool {
         self.target.flows.get(&flow).is_some_and(|s| s.established)
     }
 }
 
-/// Packets of a flow at targets that do not hold it.
+/// Packets of a flow that reached targets other than its own, since the last that
+/// reached its own.
 pub(super) struct Misrouted {
-    /// When the first of them came.
+    /// When the first of them arrived.
     pub(super) since: Instant,
     pub(super) count: u32,
-    /// The flow was counted as misrouted.
+    /// Already counted in [`Stats::misrouted`].
     pub(super) counted: bool,
 }
 
-/// Everything in a run.
+/// State of one run.
 pub(super) struct Simulation {
     pub(super) site: Site,
     pub(super) policy: Policy,
@@ -165,37 +179,40 @@
     pub(super) agents: Vec<Agent>,
     pub(super) callers: BTreeMap<SocketAddrV4, Caller>,
     pub(super) callers_created: u32,
-    /// Packets of a flow at targets that do not hold it, since it was last at
-    /// its own.
+    /// Flows of which the last packet reached a target other than their own.
     pub(super) misrouted: HashMap<Flow, Misrouted>,
+    /// Executions of each caller's non-idempotent request.
     pub(super) executions: HashMap<SocketAddrV4, u32>,
+    /// Probability that a link drops a datagram.
     pub(super) loss_rate: f64,
+    /// Factor on the arrival rate of open-loop classes.
     pub(super) load_factor: f64,
+    /// Whether the store answers.
     pub(super) store_up: bool,
     pub(super) stats: Stats,
 }
 
-/// Plays a pattern under a policy.
+/// Simulates a pattern under a policy. The same seed gives the same result.
 #[must_use]
 pub fn simulate(pattern: &Pattern, policy: &Policy, seed: u64) -> Stats {
-    let mut world = Simulation::new(&pattern.site, policy, seed);
+    let mut sim = Simulation::new(&pattern.site, policy, seed);
     for (at, change) in &pattern.changes {
-        world.events.push(world.start + *at, Event::BeginChange(*change));
+        sim.events.push(sim.start + *at, Event::BeginChange(*change));
     }
-    let until = world.start + pattern.site.load_duration + SETTLE_TIME;
-    while let Some((at, event)) = world.events.pop() {
+    let until = sim.start + pattern.site.load_duration + SETTLE_TIME;
+    while let Some((at, event)) = sim.events.pop() {
         if at > until {
             break;
         }
-        world.now = at;
-        world.handle(event);
+        sim.now = at;
+        sim.handle(event);
     }
-    world.stats
+    sim.stats
 }
 
-fn vm_ip(a: u8, b: u8, n: usize) -> Ipv4Addr {
-    // Sites have far fewer than 65,536 VMs of a kind.
-    Ipv4Addr::new(10, a, b + (n >> 8) as u8, (n & 0xff) as u8)
+fn vm_ip(role: u8, base: u8, n: usize) -> Ipv4Addr {
+    // No site has 65,536 VMs of one role.
+    Ipv4Addr::new(10, role, base + (n >> 8) as u8, (n & 0xff) as u8)
 }
 
 pub(super) fn balancer_addr(n: usize) -> SocketAddrV4 {
@@ -206,17 +223,19 @@
     SocketAddrV4::new(vm_ip(1, 0, n), 7_720)
 }
 
+/// Index of the process at `addr`, and whether it is a balancer.
 pub(super) fn peer_index(addr: SocketAddrV4) -> (bool, usize) {
-    let [_, kind, high, low] = addr.ip().octets();
-    (kind == 9, usize::from(high) << 8 | usize::from(low))
+    let [_, role, high, low] = addr.ip().octets();
+    (role == 9, usize::from(high) << 8 | usize::from(low))
 }
 
-/// The address that callers of a class call.
+/// Service address of a request class.
 pub(super) fn vip(class: usize) -> SocketAddrV4 {
-    // Sites have a handful of classes.
+    // No site has 255 classes.
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, class as u8 + 1), 443)
 }
 
+/// Request class of a flow, from its service address.
 pub(super) fn class_of(flow: Flow) -> usize {
     usize::from(flow.vip.ip().octets()[3]) - 1
 }
@@ -244,14 +263,14 @@
             Event::PortProbed(n, epoch) => self.finish_port_probe(n, epoch),
             Event::RequestDone(n, timer) => self.finish_execution(n, timer),
             Event::Retransmit(n, timer) => self.retransmit_response(n, timer),
-            Event::CallerStep(addr, turn, step) => self.run_caller_step(addr, turn, step),
+            Event::CallerStep(addr, generation, step) => {
+                self.run_caller_step(addr, generation, step)
+            }
             Event::Arrival(class) => self.next_arrival(class),
             other => self.handle_lifecycle(other),
         }
     }
 
-    // Processes.
-
     pub(super) fn wake_balancer(&mut self, n: usize, at: Instant) {
         if let Some(at) = self.balancers[n].host.schedule_wake(at) {
             self.events.push(at, Event::WakeBalancer(n));
@@ -330,6 +349,7 @@
         }
     }
 
+    /// Tells an agent the result of its probe: target up but slow, or crashed.
     fn finish_port_probe(&mut self, n: usize, epoch: u64) {
         let a = &mut self.agents[n];
         if a.host.epoch != epoch {
--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -1,99 +1,99 @@
-//! The size of a modelled site: VMs, targets, callers and what they ask.
+//! Description of a simulated site: VMs, links, services and callers' workloads.
 
 use std::time::Duration;
 
-/// How routers spread flows over the balancers in rotation.
+/// How routers choose the balancer of a flow among those in rotation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FlowHash {
-    /// By the remainder of a hash: a balancer that joins or leaves moves nearly
-    /// all flows of its data centre.
+    /// Hash modulo the number of balancers: a balancer that joins or leaves moves
+    /// nearly all flows of its data centre.
     #[default]
     Modulo,
-    /// By rendezvous hashing: only flows of that balancer move.
+    /// Rendezvous hashing: only the flows of that balancer move.
     Rendezvous,
 }
 
-/// One service and its targets.
+/// A service and its targets.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Service name.
     pub name: &'static str,
-    /// Its targets, spread over the data centres in turn.
+    /// Number of targets, spread evenly over the data centres.
     pub targets: u16,
-    /// Requests that a target works on at once.
+    /// Requests that a target executes concurrently.
     pub slots: u32,
-    /// Requests that wait for a slot at most; more are refused as not run.
+    /// Requests that may wait for a slot of a target; further ones are shed.
     pub queue_limit: usize,
 }
 
-/// How callers of one class come.
+/// Workload model of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Workload {
-    /// Users who hold a flow open and ask again after a pause.
+    /// Closed loop: a fixed number of users, each with one request at a time on a
+    /// flow that stays open.
     ClosedLoop {
-        /// Number of users in all.
+        /// Number of users.
         users: u32,
-        /// Mean pause between an answer and the next request.
+        /// Mean time between a response and the next request.
         think_time: Duration,
     },
-    /// A flow for each request, that many a second in all.
+    /// Open loop: Poisson arrivals, each request on a new flow.
     OpenLoop {
-        /// Requests a second.
+        /// Mean arrivals per second.
         rate: f64,
     },
 }
 
-/// One class of requests.
+/// A class of similar requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Which of the site's services it asks.
+    /// Index of the service in [`Site::services`].
     pub service: usize,
-    /// How its callers come.
+    /// When its requests are sent.
     pub workload: Workload,
-    /// Mean work of a target; between half and one and a half of it.
+    /// Mean execution time at a target; uniformly distributed between half of it
+    /// and one and a half times it.
     pub service_time: Duration,
-    /// Bytes of a request.
+    /// Size of a request.
     pub request_bytes: u32,
-    /// Bytes of an answer.
+    /// Size of a response.
     pub response_bytes: u32,
-    /// An answer after this is late.
+    /// A response after this time counts as late.
     pub latency_goal: Duration,
-    /// When the caller gives the request up.
+    /// When the caller gives up.
     pub timeout: Duration,
-    /// Whether a request may run twice.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
 }
 
-/// A modelled site.
+/// A simulated site.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Data centres.
+    /// Number of data centres.
     pub zones: u8,
-    /// Balancers in each.
+    /// Balancers per data centre.
     pub balancers: u8,
-    /// The services.
+    /// Services; [`RequestClass::service`] is an index into them.
     pub services: Vec<Service>,
-    /// What callers ask.
+    /// Request classes of the callers.
     pub classes: Vec<RequestClass>,
-    /// How routers spread flows.
+    /// How routers choose a balancer.
     pub flow_hash: FlowHash,
-    /// Link of a balancer, in Mbit/s.
+    /// Link bandwidth of a balancer's VM, in Mbit/s.
     pub link_mbps: f64,
-    /// A balancer's share of a core.
+    /// Share of a CPU core that a balancer has.
     pub balancer_cpu: f64,
-    /// An agent's share of a core.
+    /// Share of a CPU core that an agent has.
     pub agent_cpu: f64,
-    /// How long the load lasts.
+    /// How long callers start new requests.
     pub load_duration: Duration,
 }
 
 const MS: Duration = Duration::from_millis(1);
 
 impl Site {
-    /// Fifteen VMs with 400 requests a second: 4 balancers in 4 data centres, 7
-    /// targets for feeds and filings, 4 for downloads. Figures of a site whose
-    /// operators gave them: feeds of 55 ms work, filings of 72 ms, downloads of
-    /// 80 KB, targets of 7 slots that are half to two thirds busy.
+    /// Fifteen VMs and about 400 requests per second: one balancer in each of 4 data
+    /// centres, 7 targets for feeds and filings, 4 targets for downloads.
     #[must_use]
     pub fn small() -> Self {
         Self {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// The same workload grown to 62 VMs: 16 balancers with narrow links, 37
-    /// targets of 4 slots for feeds and filings and 9 for downloads.
+    /// The workload of [`Site::small`] scaled up to 62 VMs: 16 balancers with slower
+    /// links, 37 targets for feeds and filings, 9 targets for downloads.
     #[must_use]
     pub fn grown() -> Self {
         Self {
@@ -129,11 +129,9 @@
         }
     }
 
-    /// Ninety-one VMs with 1,800 requests a second: 26 balancers less two, 52
-    /// targets of 2 slots for feeds and quotes and 13 for uploads. Figures of a
-    /// site whose operators gave them: feeds of 40 ms work, quotes of 52 ms that
-    /// may not run twice, uploads of 40 KB; entry links of 10 Mbit/s and 0.12 of
-    /// a core, time limits of 1.5 to 4 s. Targets are two thirds busy.
+    /// Eighty-nine VMs and about 1,800 requests per second: 24 balancers with links
+    /// of 10 Mbit/s, 52 targets of 2 slots for feeds and quotes, 13 targets for
+    /// uploads, and short timeouts.
     #[must_use]
     pub fn dense() -> Self {
         let [feed, filing, download] = Self::base_classes(3_500, 375.0, 113.0);
@@ -172,21 +170,21 @@
         }
     }
 
-    /// A hundred and ninety-six VMs in 5 data centres with 1,470 requests a second:
-    /// 60 balancers with links of 20 Mbit/s, 109 targets of 2 slots for feeds and
-    /// payments and 27 for uploads. Figures of a site whose operators gave them: the
-    /// work of [`Site::dense`], aims of 0.5 to 1.2 s and time limits of 4 to 10 s.
+    /// 196 VMs in 5 data centres and about 1,470 requests per second: 60 balancers
+    /// with links of 20 Mbit/s, 109 targets for feeds and quotes, 27 targets for
+    /// uploads. Requests are those of [`Site::dense`] with longer timeouts.
     #[must_use]
     pub fn large() -> Self {
         let dense = Self::dense();
         let mut classes = dense.classes.clone();
-        let asked = [
+        let workloads = [
             (Workload::ClosedLoop { users: 2_900, think_time: 2_600 * MS }, 500, 4_000),
             (Workload::OpenLoop { rate: 306.0 }, 500, 5_000),
             (Workload::OpenLoop { rate: 92.0 }, 1_200, 10_000),
         ];
-        for (class, (behavior, aim, limit)) in classes.iter_mut().zip(asked) {
-            (class.workload, class.latency_goal, class.timeout) = (behavior, aim * MS, limit * MS);
+        for (class, (workload, goal_ms, timeout_ms)) in classes.iter_mut().zip(workloads) {
+            (class.workload, class.latency_goal, class.timeout) =
+                (workload, goal_ms * MS, timeout_ms * MS);
         }
         Self {
             zones: 5,
@@ -234,24 +232,24 @@
         [feed, filing, download]
     }
 
-    /// The site with balancers whose links carry `mbps` megabits a second.
+    /// Sets the link bandwidth of balancers.
     #[must_use]
     pub const fn with_link_mbps(mut self, mbps: f64) -> Self {
         self.link_mbps = mbps;
         self
     }
 
-    /// The site with `x` times as many callers.
+    /// Multiplies the users and arrival rates of all classes by `factor`.
     #[must_use]
-    pub fn scale_load(mut self, x: f64) -> Self {
+    pub fn scale_load(mut self, factor: f64) -> Self {
         for class in &mut self.classes {
             class.workload = match class.workload {
-                // Positive and far below the type's limit.
+                // The product is positive and far below `u32::MAX`.
                 Workload::ClosedLoop { users, think_time: pause } => Workload::ClosedLoop {
-                    users: (f64::from(users) * x).round() as u32,
+                    users: (f64::from(users) * factor).round() as u32,
                     think_time: pause,
                 },
-                Workload::OpenLoop { rate } => Workload::OpenLoop { rate: rate * x },
+                Workload::OpenLoop { rate } => Workload::OpenLoop { rate: rate * factor },
             };
         }
         self
--- a/src/model/stats.rs
+++ b/src/model/stats.rs
@@ -1,48 +1,47 @@
-//! What became of the callers' requests.
+//! Results of a run: outcomes and latencies of requests, message counts and
+//! correctness violations.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Width of the windows in which requests are counted by when they began.
+/// Length of the windows of [`Stats::windows`].
 pub const WINDOW_LENGTH: Duration = Duration::from_millis(500);
 
-/// Longest answer time that is told apart, in milliseconds.
+/// Upper bound of the latency histogram, in milliseconds.
 const MAX_LATENCY_MS: u64 = 60_000;
 
-/// How one request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered within its aim.
+    /// Answered within its latency goal.
     Served,
-    /// Answered later.
+    /// Answered after its latency goal.
     Late,
-    /// Refused as not run, by the system or its target.
+    /// Refused before execution, by the load balancer or by a full target.
     Refused,
-    /// Cut off or given up at its time limit.
+    /// Cut off by a reset, or timed out.
     Lost,
 }
 
-/// What a late answer is worth to its caller, as a part of one in time: what
-/// operators of three sites gave for each of their classes.
+/// Utility of a late response, where one in time has utility 1.
 const LATE_UTILITY: f64 = 0.3;
 
-/// Requests of one class.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassStats {
-    /// All of them.
+    /// All requests.
     #[serde(rename = "owed")]
     pub requests: u32,
-    /// Those answered within their aim.
+    /// Requests answered within their latency goal.
     pub served: u32,
-    /// Those answered later.
+    /// Requests answered after it.
     pub late: u32,
 }
 
 impl ClassStats {
-    /// Part of what the requests are worth to their callers that the answers
-    /// were worth.
+    /// Mean utility of the requests, between 0 and 1.
     #[must_use]
     pub fn utility(&self) -> f64 {
         if self.requests == 0 {
@@ -52,60 +51,60 @@
     }
 }
 
-/// Requests that began in one window.
+/// Outcomes of the requests that began in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WindowStats {
-    /// All of them.
+    /// All requests.
     #[serde(rename = "owed")]
     pub requests: u32,
-    /// Those answered within their aim.
+    /// Requests answered within their latency goal.
     pub served: u32,
 }
 
 impl WindowStats {
-    /// Part of the requests that were served in time.
+    /// Share of the requests answered within their latency goal.
     #[must_use]
     pub fn served_ratio(&self) -> f64 {
         if self.requests == 0 { 1.0 } else { f64::from(self.served) / f64::from(self.requests) }
     }
 }
 
-/// Totals of one run.
+/// Results of one run.
 #[derive(Clone, Debug)]
 pub struct Stats {
-    /// Requests answered within their aim.
+    /// Requests answered within their latency goal.
     pub served: u32,
-    /// Requests answered later.
+    /// Requests answered after it.
     pub late: u32,
-    /// Requests refused as not run.
+    /// Requests refused before execution.
     pub refused: u32,
-    /// Requests cut off or given up.
+    /// Requests cut off by a reset, or timed out.
     pub lost: u32,
-    /// Answer times in milliseconds.
+    /// Time to the response of answered requests.
     latencies_ms: Histogram<u64>,
-    /// By the time at which requests began.
+    /// Outcomes by the time at which requests began.
     pub windows: Vec<WindowStats>,
-    /// By class.
+    /// Outcomes by request class.
     pub classes: Vec<ClassStats>,
     /// Flows that callers opened or tried to open.
     pub flows: u32,
-    /// Messages between balancers and agents, but for those that carry a packet
-    /// of a flow to the agent that holds it.
+    /// Messages between balancers and agents, except those that forward a packet
+    /// to the agent that holds its flow.
     pub messages: u64,
     /// Bytes of these messages.
     pub message_bytes: u64,
-    /// Open flows that were reset although their target held them.
+    /// Established flows that were reset although their target still held them.
     pub broken: u32,
-    /// Flows of which three packets or more reached targets that do not hold
-    /// them, and none their own for 2 s.
+    /// Flows of which at least three packets reached other targets, and none
+    /// their own, over at least 2 s.
     pub misrouted: u32,
-    /// Requests that ran twice although they may not.
+    /// Non-idempotent requests that were executed more than once.
     pub duplicates: u32,
 }
 
 impl Default for Stats {
     fn default() -> Self {
-        // The bounds are constants of which the second is above twice the first.
+        // Valid bounds: the upper one is at least twice the lower one.
         let times = Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3)
             .unwrap_or_else(|e| unreachable!("histogram of 1 to {MAX_LATENCY_MS} ms: {e}"));
         Self {
@@ -127,84 +126,91 @@
 }
 
 impl Stats {
-    /// Counts a request of `class` that began `from` after the start and ended
-    /// as `end` after `took`.
-    pub fn record_request(&mut self, class: usize, from: Duration, took: Duration, end: Outcome) {
-        // Far below the type's limit.
-        let n = (from.as_millis() / WINDOW_LENGTH.as_millis()) as usize;
+    /// Counts a request of `class` that began at `began`, measured from the start
+    /// of the run, and ended after `latency`.
+    pub fn record_request(
+        &mut self,
+        class: usize,
+        began: Duration,
+        latency: Duration,
+        outcome: Outcome,
+    ) {
+        // A run has a few dozen windows.
+        let n = (began.as_millis() / WINDOW_LENGTH.as_millis()) as usize;
         let window = entry_mut(&mut self.windows, n);
-        let earned = entry_mut(&mut self.classes, class);
+        let by_class = entry_mut(&mut self.classes, class);
         window.requests += 1;
-        earned.requests += 1;
-        match end {
+        by_class.requests += 1;
+        match outcome {
             Outcome::Served => {
                 self.served += 1;
                 window.served += 1;
-                earned.served += 1;
+                by_class.served += 1;
             }
             Outcome::Late => {
                 self.late += 1;
-                earned.late += 1;
+                by_class.late += 1;
             }
             Outcome::Refused => self.refused += 1,
             Outcome::Lost => self.lost += 1,
         }
-        if matches!(end, Outcome::Served | Outcome::Late) {
-            let ms = u64::try_from(took.as_millis()).unwrap_or(MAX_LATENCY_MS);
+        if matches!(outcome, Outcome::Served | Outcome::Late) {
+            let ms = u64::try_from(latency.as_millis()).unwrap_or(MAX_LATENCY_MS);
             self.latencies_ms.saturating_record(ms.max(1));
         }
     }
 
-    /// Requests in all.
+    /// Number of requests.
     #[must_use]
     pub const fn requests(&self) -> u32 {
         self.served + self.late + self.refused + self.lost
     }
 
-    /// Part of the requests that were served in time.
+    /// Share of the requests answered within their latency goal.
     #[must_use]
     pub fn served_ratio(&self) -> f64 {
         WindowStats { requests: self.requests(), served: self.served }.served_ratio()
     }
 
-    /// The answer time below which a part `q` of the answers lies, in
+    /// Latency of answered requests at quantile `q`, between 0 and 1, in
     /// milliseconds.
     #[must_use]
     pub fn latency_quantile_ms(&self, q: f64) -> u64 {
         self.latencies_ms.value_at_quantile(q)
     }
 
-    /// Messages for each flow.
+    /// Mean number of messages per flow; see [`Stats::messages`].
     #[must_use]
     pub fn messages_per_flow(&self) -> f64 {
         self.messages as f64 / f64::from(self.flows.max(1))
     }
 
-    /// Part served in time of the requests that began in `from` to `to` after
-    /// the start.
+    /// Share answered within their latency goal of the requests that began
+    /// between `from` and `to`, measured from the start of the run.
     #[must_use]
     pub fn served_ratio_between(&self, from: Duration, to: Duration) -> f64 {
         self.sum_windows(from, to).served_ratio()
     }
 
-    /// Requests that began between `from` and `to`.
+    /// Number of requests that began between `from` and `to`, measured from the
+    /// start of the run.
     #[must_use]
     pub fn requests_between(&self, from: Duration, to: Duration) -> u32 {
         self.sum_windows(from, to).requests
     }
 
     fn sum_windows(&self, from: Duration, to: Duration) -> WindowStats {
-        // Far below the type's limit.
+        // A run has a few dozen windows.
         let n = |at: Duration| (at.as_millis() / WINDOW_LENGTH.as_millis()) as usize;
-        let seen = self.windows.iter().take(n(to)).skip(n(from));
-        seen.fold(WindowStats::default(), |sum, w| WindowStats {
+        let windows = self.windows.iter().take(n(to)).skip(n(from));
+        windows.fold(WindowStats::default(), |sum, w| WindowStats {
             requests: sum.requests + w.requests,
             served: sum.served + w.served,
         })
     }
 }
 
-/// The `n`-th of `all`, which grows to hold it.
+/// Element `n` of `all`, which is extended with defaults if it is shorter.
 fn entry_mut<T: Clone + Default>(all: &mut Vec<T>, n: usize) -> &mut T {
     if all.len() <= n {
         all.resize(n + 1, T::default());
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -1,5 +1,5 @@
-//! A modelled target: opens flows, runs each request in one of its slots, and
-//! gives back packets of flows that it does not hold.
+//! Simulated target: accepts flows, executes requests in a fixed number of slots
+//! with a bounded queue, and bounces packets of flows that it does not hold.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -7,77 +7,82 @@
 use super::sender::{MSS, Sender};
 use crate::flow::{Flags, Flow, Segment};
 
-/// Bytes of the answer by which a full target refuses a request as not run.
+/// Size of the response by which a full target sheds a request, in bytes.
 pub const SHED_RESPONSE_BYTES: u32 = 100;
 
-/// How long a target that has started is slow, and how many times: as operators
-/// say of theirs.
+/// How long a target is cold after its start.
 const WARM_UP: Duration = Duration::from_secs(2);
+
+/// Factor on execution times while a target is cold.
 const COLD_FACTOR: f64 = 1.6;
 
-/// How far past its first sequence number the first acknowledgement may lie.
+/// Maximum distance from the initial sequence number of the acknowledgement that
+/// completes the handshake.
 const FIRST_ACK_WINDOW: u32 = 16 * MSS;
 
-/// One flow at its target.
+/// A flow at its target.
 #[derive(Debug)]
 pub struct TargetFlow {
-    /// First sequence number of the target.
+    /// The target's initial sequence number.
     pub isn: u32,
-    /// The end of the handshake came.
+    /// Whether the handshake is complete.
     pub established: bool,
-    /// Next byte expected of the caller.
+    /// Next byte expected from the caller.
     pub next: u32,
-    /// Bytes of the present request that are still to come.
+    /// Bytes of the current request not yet received.
     remaining: u32,
-    /// The answer that is being sent.
+    /// Sender of the last response.
     pub sender: Option<Sender>,
-    /// Position of the next answer's first byte.
+    /// Sequence number of the next response's first byte.
     response_seq: u32,
-    /// Counts the answers, so that timers of earlier ones are told.
+    /// Number of responses started, so that timers of earlier ones are ignored.
     pub responses: u32,
+    /// Packets received since the last acknowledgement was sent.
     unacked_packets: u8,
 }
 
-/// What a packet did at the target.
+/// Result of a packet at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketResult {
-    /// It is not held here, or cannot be accepted.
+    /// The target is down or does not hold the flow: the packet goes back.
     Bounced,
-    /// Nothing more than the packets that it put out.
+    /// Accepted; nothing to do but to send the replies.
     Accepted,
-    /// A whole request has come.
+    /// A request was received completely.
     RequestComplete,
-    /// Bytes of the present answer were acknowledged.
+    /// Bytes of the response were acknowledged, so more can be sent.
     WindowOpened,
 }
 
-/// A target.
+/// A simulated target.
 #[derive(Debug)]
 pub struct Target {
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub up: bool,
-    /// Counts its starts.
+    /// Number of starts, so that events of an earlier run can be recognised.
     pub epoch: u64,
-    /// Counts its reports since its start.
+    /// Reports sent since the last start.
     pub reports: u64,
-    /// How many times slower than usual it works.
+    /// Factor on execution times; 1 is normal speed.
     pub slowdown: f64,
-    /// Until when it is slow after its start.
+    /// When the target is no longer cold.
     pub warm_at: Instant,
     slots: u32,
     queue_limit: usize,
     busy: u32,
+    /// Flows whose requests wait for a slot.
     queue: VecDeque<Flow>,
-    /// The flows that it holds.
+    /// Flows that the target holds.
     pub flows: HashMap<Flow, TargetFlow>,
+    /// Initial sequence number of the flow accepted last.
     isn: u32,
 }
 
 impl Target {
-    /// A running target with `slots` and a queue of `room` requests, whose first
-    /// sequence numbers begin at `isn`.
+    /// Creates a running target with a queue of up to `queue_limit` requests.
+    /// Initial sequence numbers count up from `isn`.
     #[must_use]
-    pub fn new(slots: u32, room: usize, isn: u32, now: Instant) -> Self {
+    pub fn new(slots: u32, queue_limit: usize, isn: u32, now: Instant) -> Self {
         Self {
             up: true,
             epoch: 1,
@@ -85,7 +90,7 @@
             slowdown: 1.0,
             warm_at: now,
             slots,
-            queue_limit: room,
+            queue_limit,
             busy: 0,
             queue: VecDeque::new(),
             flows: HashMap::new(),
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Its process ends; its flows are gone.
+    /// Ends the process and drops its flows.
     pub fn crash(&mut self) {
         self.up = false;
         self.busy = 0;
@@ -101,7 +106,7 @@
         self.flows.clear();
     }
 
-    /// Its process starts again.
+    /// Restarts the process, cold.
     pub fn start(&mut self, now: Instant) {
         self.up = true;
         self.warm_at = now + WARM_UP;
@@ -109,11 +114,12 @@
         self.reports = 0;
     }
 
-    /// Takes a packet; what it answers at once goes to `out`.
+    /// Receives a packet of a flow whose requests have `request_len` bytes, and
+    /// appends immediate replies to `out`.
     pub fn receive(
         &mut self,
         seg: &Segment,
-        request: u32,
+        request_len: u32,
         now: Instant,
         out: &mut Vec<Segment>,
     ) -> PacketResult {
@@ -122,7 +128,7 @@
             return PacketResult::Bounced;
         }
         if seg.opens_flow() {
-            self.open(flow, seg, request, out);
+            self.accept_flow(flow, seg, request_len, out);
             return PacketResult::Accepted;
         }
         let Some(s) = self.flows.get_mut(&flow).filter(|s| s.accepts(seg)) else {
@@ -139,24 +145,24 @@
             self.flows.remove(&flow);
             return PacketResult::Accepted;
         }
-        let mut effect = PacketResult::Accepted;
-        if s.sender.as_mut().is_some_and(|sending| sending.acknowledge(seg.ack, now)) {
-            effect = PacketResult::WindowOpened;
+        let mut result = PacketResult::Accepted;
+        if s.sender.as_mut().is_some_and(|sender| sender.acknowledge(seg.ack, now)) {
+            result = PacketResult::WindowOpened;
         }
         if seg.len > 0 {
-            effect = s.data(flow, seg, request, effect, out);
+            result = s.receive_data(flow, seg, request_len, result, out);
         }
-        effect
+        result
     }
 
-    fn open(&mut self, flow: Flow, seg: &Segment, request: u32, out: &mut Vec<Segment>) {
+    fn accept_flow(&mut self, flow: Flow, seg: &Segment, request_len: u32, out: &mut Vec<Segment>) {
         self.isn = self.isn.wrapping_add(100_003);
         let isn = self.isn;
         let s = self.flows.entry(flow).or_insert_with(|| TargetFlow {
             isn,
             established: false,
             next: seg.seq.wrapping_add(1),
-            remaining: request,
+            remaining: request_len,
             sender: None,
             response_seq: isn.wrapping_add(1),
             responses: 0,
@@ -166,8 +172,8 @@
         out.push(segment(flow, flags, s.isn, s.next));
     }
 
-    /// A request of `flow` wants a slot; says whether it has one, or that it is
-    /// refused as not run.
+    /// Gives the request of `flow` a slot, queues it, or sheds it if the queue is
+    /// full.
     pub fn admit(&mut self, flow: Flow) -> Admission {
         if self.busy < self.slots {
             self.busy += 1;
@@ -180,7 +186,7 @@
         Admission::Queued
     }
 
-    /// A slot is free again; returns the flow whose request takes it.
+    /// Frees a slot; returns the flow whose queued request takes it.
     pub fn release_slot(&mut self) -> Option<Flow> {
         let next = self.queue.pop_front();
         if next.is_none() {
@@ -189,59 +195,61 @@
         next
     }
 
-    /// How long work of `mean` takes at `now`, `x` being drawn from 0.5 to 1.5.
+    /// Execution time at `now` of a request with the given mean, where `factor`
+    /// is its random variation.
     #[must_use]
-    pub fn service_time(&self, mean: Duration, x: f64, now: Instant) -> Duration {
+    pub fn service_time(&self, mean: Duration, factor: f64, now: Instant) -> Duration {
         let cold = if now < self.warm_at { COLD_FACTOR } else { 1.0 };
-        mean.mul_f64(x * self.slowdown * cold)
+        mean.mul_f64(factor * self.slowdown * cold)
     }
 
-    /// The answer of `len` bytes to the present request of `flow` is ready.
+    /// Starts a response of `len` bytes on `flow`, and expects a next request of
+    /// `request_len` bytes. `None` if the target does not hold the flow.
     pub fn start_response(
         &mut self,
         flow: Flow,
         len: u32,
-        request: u32,
+        request_len: u32,
     ) -> Option<&mut TargetFlow> {
         let s = self.flows.get_mut(&flow)?;
         s.sender = Some(Sender::new(s.response_seq, len));
         s.response_seq = s.response_seq.wrapping_add(len);
-        s.remaining = request;
+        s.remaining = request_len;
         s.responses += 1;
         Some(s)
     }
 }
 
-/// What becomes of a request at its target.
+/// Admission of a request at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs.
+    /// It has a slot.
     Started,
-    /// It waits for a slot.
+    /// It is queued for a slot.
     Queued,
-    /// It is refused as not run.
+    /// It is refused before execution.
     Shed,
 }
 
 impl TargetFlow {
-    /// Whether a packet belongs to this flow: its caller goes on with the target
-    /// whose first sequence number it acknowledges.
+    /// Whether a packet belongs to this flow. While the flow is not established,
+    /// its acknowledgement tells whether the caller chose this target's SYN-ACK.
     const fn accepts(&self, seg: &Segment) -> bool {
         self.established || seg.ack.wrapping_sub(self.isn).wrapping_sub(1) < FIRST_ACK_WINDOW
     }
 
-    fn data(
+    fn receive_data(
         &mut self,
         flow: Flow,
         seg: &Segment,
-        request: u32,
-        effect: PacketResult,
+        request_len: u32,
+        previous: PacketResult,
         out: &mut Vec<Segment>,
     ) -> PacketResult {
         let len = u32::from(seg.len);
-        let mut result = effect;
-        let fits = seg.seq == self.next && len <= self.remaining;
-        if fits {
+        let mut result = previous;
+        let in_order = seg.seq == self.next && len <= self.remaining;
+        if in_order {
             self.next = self.next.wrapping_add(len);
             self.remaining -= len;
             self.unacked_packets += 1;
@@ -249,8 +257,7 @@
                 result = PacketResult::RequestComplete;
             }
         }
-        let copy = !fits;
-        if copy || self.unacked_packets >= 2 || self.remaining == 0 || request <= MSS {
+        if !in_order || self.unacked_packets >= 2 || self.remaining == 0 || request_len <= MSS {
             self.unacked_packets = 0;
             let seq = self.sender.map_or(self.response_seq, |s| s.end());
             out.push(segment(flow, Flags { ack: true, ..Flags::default() }, seq, self.next));
@@ -258,30 +265,31 @@
         result
     }
 
-    /// The packets of the answer that the window has room for.
+    /// Appends the packets of the response that the send window allows to `out`,
+    /// with the length of their data.
     pub fn ready_packets(&mut self, flow: Flow, out: &mut Vec<(Segment, u32)>) {
         let next = self.next;
-        let Some(sending) = &mut self.sender else { return };
-        while let Some((seq, len)) = sending.next_packet() {
+        let Some(sender) = &mut self.sender else { return };
+        while let Some((seq, len)) = sender.next_packet() {
             out.push((segment(flow, Flags { ack: true, ..Flags::default() }, seq, next), len));
         }
     }
 }
 
-/// A packet of the target without data.
+/// A packet from the target without data.
 fn segment(flow: Flow, flags: Flags, seq: u32, ack: u32) -> Segment {
     Segment { src: flow.vip, dst: flow.caller, flags, seq, ack, len: 0 }
 }
 
-/// When an event of one start of a target counts.
+/// Timer of a target, with what it takes to tell whether it is still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timer {
-    /// The flow.
+    /// Flow of the response.
     pub flow: Flow,
-    /// The target's start.
+    /// [`Target::epoch`] when it was set.
     pub epoch: u64,
-    /// The flow's answer.
+    /// [`TargetFlow::responses`] when it was set.
     pub response: u32,
-    /// When the event was put in.
+    /// When it was set.
     pub set_at: Instant,
 }
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -1,4 +1,4 @@
-//! What targets do during a run: they open flows, run requests and answer.
+//! Targets' timers and received packets: executing requests and sending responses.
 
 use std::time::Duration;
 
@@ -9,45 +9,45 @@
 use crate::flow::{Flow, Segment};
 use crate::platform::packet;
 
-/// How long a target takes to agree to an open.
+/// Delay from a SYN to its SYN-ACK at a target.
 const HANDSHAKE_TIME: Duration = Duration::from_micros(300);
 
-/// Packets of one flow at targets that do not hold it, from which on it counts
-/// as misrouted, if it has not been at its own for [`MISROUTED_FOR`].
+/// Packets of a flow that must reach other targets before it counts as misrouted.
 const MISROUTED_PACKETS: u32 = 3;
 
-/// How long none of its packets came to its own target: what the platform's site
-/// files say. Targets that are tried at the same moment as the flow's own, of
-/// which some are a millisecond earlier, are no misroute.
+/// How long none of a flow's packets must reach its own target before it counts as
+/// misrouted. Longer than a search that tries several targets at once.
 const MISROUTED_TIME: Duration = Duration::from_millis(2_000);
 
 impl Simulation {
     pub(super) fn deliver_to_target(&mut self, n: usize, bytes: &[u8]) {
         let Ok(seg) = packet::decode(bytes) else { return };
         let flow = seg.flow_from_caller();
-        let request = self.site.classes[class_of(flow)].request_bytes;
+        let request_len = self.site.classes[class_of(flow)].request_bytes;
         let mut out = Vec::new();
-        let effect = self.agents[n].target.receive(&seg, request, self.now, &mut out);
-        if effect == PacketResult::Bounced {
+        let result = self.agents[n].target.receive(&seg, request_len, self.now, &mut out);
+        if result == PacketResult::Bounced {
             self.count_misrouted(&seg);
-            let mut back = bytes.to_vec();
-            packet::set_bounced(&mut back);
-            self.events.push(self.now + LOCAL_DELAY, Event::FromTarget(n, back));
+            let mut bounced = bytes.to_vec();
+            packet::set_bounced(&mut bounced);
+            self.events.push(self.now + LOCAL_DELAY, Event::FromTarget(n, bounced));
             return;
         }
         self.misrouted.remove(&flow);
-        let after = if seg.opens_flow() { HANDSHAKE_TIME } else { LOCAL_DELAY };
+        let delay = if seg.opens_flow() { HANDSHAKE_TIME } else { LOCAL_DELAY };
         for seg in out {
             let bytes = packet::encode(&seg, &[]);
-            self.events.push(self.now + after, Event::FromTarget(n, bytes));
+            self.events.push(self.now + delay, Event::FromTarget(n, bytes));
         }
-        match effect {
+        match result {
             PacketResult::RequestComplete => self.admit_request(n, flow),
             PacketResult::WindowOpened => self.send_response_packets(n, flow),
             PacketResult::Bounced | PacketResult::Accepted => {}
         }
     }
 
+    /// Notes a packet that reached a target which does not hold its flow, and counts
+    /// the flow as misrouted once the thresholds are passed.
     fn count_misrouted(&mut self, seg: &Segment) {
         if seg.opens_flow() {
             return;
@@ -61,8 +61,8 @@
                 counted: false,
             });
             misrouted.count += 1;
-            let long = now.duration_since(misrouted.since) >= MISROUTED_TIME;
-            if misrouted.count >= MISROUTED_PACKETS && long {
+            let long_enough = now.duration_since(misrouted.since) >= MISROUTED_TIME;
+            if misrouted.count >= MISROUTED_PACKETS && long_enough {
                 self.stats.misrouted += u32::from(!misrouted.counted);
                 misrouted.counted = true;
             }
@@ -86,15 +86,15 @@
     fn execute_request(&mut self, n: usize, flow: Flow) {
         let class = &self.site.classes[class_of(flow)];
         if !class.idempotent {
-            let runs = self.executions.entry(flow.caller).or_default();
-            *runs += 1;
-            self.stats.duplicates += u32::from(*runs == 2);
+            let count = self.executions.entry(flow.caller).or_default();
+            *count += 1;
+            self.stats.duplicates += u32::from(*count == 2);
         }
-        let x = self.rng.random_range(0.5..1.5);
+        let factor = self.rng.random_range(0.5..1.5);
         let a = &self.agents[n];
-        let took = a.target.service_time(class.service_time, x, self.now);
-        let answer = a.target.flows.get(&flow).map_or(0, |s| s.responses);
-        let timer = Timer { flow, epoch: a.target.epoch, response: answer, set_at: self.now };
+        let took = a.target.service_time(class.service_time, factor, self.now);
+        let response = a.target.flows.get(&flow).map_or(0, |s| s.responses);
+        let timer = Timer { flow, epoch: a.target.epoch, response, set_at: self.now };
         self.events.push(self.now + took, Event::RequestDone(n, timer));
     }
 
@@ -111,22 +111,22 @@
     }
 
     fn start_response(&mut self, n: usize, flow: Flow, len: u32) {
-        let request = self.site.classes[class_of(flow)].request_bytes;
-        if self.agents[n].target.start_response(flow, len, request).is_some() {
+        let request_len = self.site.classes[class_of(flow)].request_bytes;
+        if self.agents[n].target.start_response(flow, len, request_len).is_some() {
             self.send_response_packets(n, flow);
         }
     }
 
-    /// Sends what the window of an answer has room for.
+    /// Sends the packets of a response that the send window allows.
     fn send_response_packets(&mut self, n: usize, flow: Flow) {
         let a = &mut self.agents[n];
         let epoch = a.target.epoch;
         let Some(s) = a.target.flows.get_mut(&flow) else { return };
         let mut out = Vec::new();
         s.ready_packets(flow, &mut out);
-        let Some(sending) = s.sender.filter(|s| !s.all_acked()) else { return };
+        let Some(sender) = s.sender.filter(|s| !s.all_acked()) else { return };
         let timer = Timer { flow, epoch, response: s.responses, set_at: self.now };
-        self.events.push(self.now + sending.rto(), Event::Retransmit(n, timer));
+        self.events.push(self.now + sender.rto(), Event::Retransmit(n, timer));
         self.send_target_packets(n, out);
     }
 
@@ -146,15 +146,15 @@
         else {
             return;
         };
-        let Some(sending) = &mut s.sender else { return };
-        if sending.all_acked() || sending.acked_since(timer.set_at) {
+        let Some(sender) = &mut s.sender else { return };
+        if sender.all_acked() || sender.acked_since(timer.set_at) {
             return;
         }
-        let pause = sending.retransmit();
+        let rto = sender.retransmit();
         let mut out = Vec::new();
         s.ready_packets(timer.flow, &mut out);
-        let again = Timer { set_at: self.now, ..timer };
-        self.events.push(self.now + pause, Event::Retransmit(n, again));
+        let timer = Timer { set_at: self.now, ..timer };
+        self.events.push(self.now + rto, Event::Retransmit(n, timer));
         self.send_target_packets(n, out);
     }
 }
