--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Plays patterns of the model under several policies, on the same seeds, and
-//! compares what callers get.
+//! Compares policies: simulates patterns under several variants with the same
+//! seeds and summarises the results.
 
 pub mod report;
 pub mod summary;
@@ -19,30 +19,31 @@
 /// Arguments of `jujubepost experiment`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Patterns to play; all when none.
+    /// Pattern to simulate; repeatable. Default: all patterns.
     #[arg(long)]
     pub pattern: Vec<String>,
-    /// Seeds of each pattern and policy: 1 to this.
+    /// Number of seeds per pattern and variant, counted from 1.
     #[arg(long, default_value_t = 5)]
     pub seeds: u64,
-    /// A variant without this mechanism.
+    /// Add a variant without this mechanism; repeatable.
     #[arg(long)]
     pub without: Vec<Mechanism>,
-    /// A variant without each of the mechanisms, one by one.
+    /// Add one variant for each mechanism, without it.
     #[arg(long)]
     pub ablation: bool,
-    /// A variant with this field changed, as FIELD=VALUE: `steer.answer=60`.
+    /// Add a variant with one policy field overridden, as FIELD=VALUE, such as
+    /// `steer.answer=60`; repeatable.
     #[arg(long)]
     pub set: Vec<String>,
-    /// Where to write every figure as CSV.
+    /// Write all figures to this CSV file.
     #[arg(long)]
     pub csv: Option<PathBuf>,
-    /// Where to write a page with plots.
+    /// Write an HTML page with plots to this file.
     #[arg(long)]
     pub html: Option<PathBuf>,
 }
 
-/// One run of the model.
+/// One simulation run.
 struct Job<'a> {
     pattern: &'a Pattern,
     variant: &'a Variant,
@@ -50,37 +51,39 @@
 }
 
 impl Args {
-    /// The patterns that are named, or all.
+    /// The named patterns, or all if none are named.
     fn patterns(&self) -> anyhow::Result<Vec<Pattern>> {
         if self.pattern.is_empty() {
             return Ok(pattern::all());
         }
         let known = || pattern::all().iter().map(|p| p.name).collect::<Vec<_>>().join(", ");
-        let named = |name: &String| {
+        let find = |name: &String| {
             Pattern::by_name(name)
-                .with_context(|| format!("there is no pattern `{name}`; known are {}", known()))
+                .with_context(|| format!("unknown pattern `{name}`; known patterns: {}", known()))
         };
-        self.pattern.iter().map(named).collect()
+        self.pattern.iter().map(find).collect()
     }
 
-    /// The baseline and the variants that are named.
+    /// The baseline, followed by the requested variants.
     fn variants(&self) -> anyhow::Result<Vec<Variant>> {
-        let mut all = vec![Variant::baseline()];
-        let every = <Mechanism as clap::ValueEnum>::value_variants();
-        let off = if self.ablation { every } else { &self.without };
-        all.extend(off.iter().copied().map(Variant::without));
+        let mut variants = vec![Variant::baseline()];
+        let all_mechanisms = <Mechanism as clap::ValueEnum>::value_variants();
+        let disabled = if self.ablation { all_mechanisms } else { &self.without };
+        variants.extend(disabled.iter().copied().map(Variant::without));
         for text in &self.set {
-            all.push(Variant::with_override(text)?);
+            variants.push(Variant::with_override(text)?);
         }
-        Ok(all)
+        Ok(variants)
     }
 }
 
-/// Plays every variant on every pattern and seed, on all cores.
+/// Simulates every variant on every pattern and seed, in parallel. Rows are in the
+/// order of patterns, then variants; the first variant is the baseline.
 ///
 /// # Errors
 ///
-/// Names a pattern or field that there is none of.
+/// Fails for an unknown pattern, and for an override with an unknown field or an
+/// invalid value.
 pub fn compare(args: &Args) -> anyhow::Result<(Vec<Pattern>, Vec<Summary>)> {
     let (patterns, variants) = (args.patterns()?, args.variants()?);
     let mut jobs = Vec::new();
@@ -90,31 +93,31 @@
         }
     }
     let count = jobs.len() as u64;
-    let tallies: Vec<Stats> = jobs
+    let results: Vec<Stats> = jobs
         .par_iter()
         .progress_count(count)
         .map(|j| simulate(j.pattern, &j.variant.policy, j.seed))
         .collect();
     let mut rows = Vec::new();
     for pattern in &patterns {
-        let of = |variant: &Variant| -> Vec<&Stats> {
-            let ours = |j: &Job<'_>| j.pattern.name == pattern.name && j.variant == variant;
-            jobs.iter().zip(&tallies).filter(|(j, _)| ours(j)).map(|(_, t)| t).collect()
+        let runs_of = |variant: &Variant| -> Vec<&Stats> {
+            let matches = |j: &Job<'_>| j.pattern.name == pattern.name && j.variant == variant;
+            jobs.iter().zip(&results).filter(|(j, _)| matches(j)).map(|(_, s)| s).collect()
         };
-        let baseline = of(&variants[0]);
+        let baseline = runs_of(&variants[0]);
         for variant in &variants {
             let name = variant.name.clone();
-            rows.push(Summary::new(pattern.name, name, &of(variant), &baseline));
+            rows.push(Summary::new(pattern.name, name, &runs_of(variant), &baseline));
         }
     }
     Ok((patterns, rows))
 }
 
-/// Runs an experiment and prints its table.
+/// Runs an experiment, prints its table and writes the requested files.
 ///
 /// # Errors
 ///
-/// As [`compare`], and when a file cannot be written.
+/// Fails as [`compare`], and if a file cannot be written.
 pub fn run(args: &Args) -> anyhow::Result<()> {
     let (patterns, rows) = compare(args)?;
     print!("{}", report::table(&rows));
--- a/src/experiment/report.rs
+++ b/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! The results as a table, as CSV and as a page with plots.
+//! Output of an experiment: a Markdown table, CSV, and an HTML page with plots.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -9,16 +9,16 @@
 use super::summary::{Distribution, Summary};
 use crate::model::Pattern;
 
-/// Size of one plot, in pixels.
+/// Width and height of a plot without its bars, in pixels.
 const PLOT_SIZE: (u32, u32) = (760, 60);
 
-/// Height of one bar of a plot, in pixels.
+/// Height of a bar, in pixels.
 const BAR_HEIGHT: u32 = 24;
 
-/// Room for the variants' names, in pixels.
+/// Width of the variant labels, in pixels.
 const LABEL_WIDTH: u32 = 190;
 
-/// The table, a line for each pattern and variant.
+/// Markdown table with one row per pattern and variant.
 #[must_use]
 pub fn table(rows: &[Summary]) -> String {
     let mut out = String::from(
@@ -53,11 +53,11 @@
     format!("{:+.3} ({:+.3} to {:+.3})", s.median, s.min, s.max)
 }
 
-/// Writes every figure as CSV.
+/// Writes all figures as CSV, one line per pattern, variant and figure.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be written.
+/// Fails if the file cannot be written.
 pub fn write_csv(path: &Path, rows: &[Summary]) -> anyhow::Result<()> {
     let mut out = csv::Writer::from_path(path)
         .with_context(|| format!("experiment: writing {}", path.display()))?;
@@ -81,11 +81,11 @@
     out.flush().with_context(|| format!("experiment: writing {}", path.display()))
 }
 
-/// Writes a page with a plot for each pattern, and the table.
+/// Writes an HTML page with a plot for each pattern, and the table.
 ///
 /// # Errors
 ///
-/// Fails when a plot cannot be drawn or the file not be written.
+/// Fails if a plot cannot be drawn or the file cannot be written.
 pub fn write_page(path: &Path, patterns: &[Pattern], rows: &[Summary]) -> anyhow::Result<()> {
     let mut page = String::from(
         "<!doctype html><meta charset=\"utf-8\"><title>jujubepost experiment</title>\
@@ -94,18 +94,19 @@
          <p>Bars: median over seeds. Lines: least to most.</p>",
     );
     for p in patterns {
-        let of: Vec<&Summary> = rows.iter().filter(|r| r.pattern == p.name).collect();
-        let plot = plot(&of).map_err(|e| anyhow::anyhow!("experiment: plot of {}: {e}", p.name))?;
+        let variants: Vec<&Summary> = rows.iter().filter(|r| r.pattern == p.name).collect();
+        let plot = plot(&variants)
+            .map_err(|e| anyhow::anyhow!("experiment: drawing the plot of {}: {e}", p.name))?;
         let _ = write!(page, "<h2>{}</h2><p>{}</p>{plot}", p.name, p.description);
     }
     let _ = write!(page, "<h1>All figures</h1><pre>{}</pre>", table(rows));
     std::fs::write(path, page).with_context(|| format!("experiment: writing {}", path.display()))
 }
 
-/// One pattern's variants as bars.
+/// Bar chart of the variants of one pattern, as SVG.
 fn plot(rows: &[&Summary]) -> Result<String, Box<dyn std::error::Error>> {
     let mut svg = String::new();
-    // Fewer variants than the type holds.
+    // Far fewer variants than `i32::MAX`.
     let count = rows.len() as i32;
     {
         let size = (PLOT_SIZE.0, PLOT_SIZE.1 + BAR_HEIGHT * rows.len() as u32);
--- a/src/experiment/variant.rs
+++ b/src/experiment/variant.rs
@@ -1,4 +1,4 @@
-//! Policies to compare: the baseline, and variants of it.
+//! Policies to compare: the baseline and its variants.
 
 use anyhow::Context;
 use serde_json::Value;
@@ -8,20 +8,20 @@
 /// A named policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Variant {
-    /// Its name: what differs from the baseline.
+    /// How it differs from the baseline.
     pub name: String,
-    /// The policy.
+    /// Policy to simulate.
     pub policy: Policy,
 }
 
 impl Variant {
-    /// The baseline.
+    /// The default policy.
     #[must_use]
     pub fn baseline() -> Self {
         Self { name: "baseline".to_string(), policy: Policy::default() }
     }
 
-    /// The baseline without `mechanism`.
+    /// The default policy with `mechanism` switched off.
     #[must_use]
     pub fn without(mechanism: Mechanism) -> Self {
         let mut policy = Policy::default();
@@ -29,36 +29,38 @@
         Self { name: format!("without {mechanism}"), policy }
     }
 
-    /// The baseline with one field changed, as `FIELD=VALUE`, for example
-    /// `steer.answer=60`.
+    /// The default policy with one field overridden, given as `FIELD=VALUE`, for
+    /// example `steer.answer=60`.
     ///
     /// # Errors
     ///
-    /// Fails when the text has no `=`, and names a field that does not exist or
-    /// a value that does not fit it.
+    /// Fails if the text has no `=`, the field does not exist, or the value has
+    /// the wrong type or is out of range.
     pub fn with_override(text: &str) -> anyhow::Result<Self> {
-        let (field, value) = text.split_once('=').context("a change is FIELD=VALUE")?;
+        let (field, value) = text
+            .split_once('=')
+            .with_context(|| format!("override `{text}` is not FIELD=VALUE"))?;
         let value: Value =
             serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_string()));
-        let mut all = serde_json::to_value(Policy::default())?;
-        let mut place = &mut all;
+        let mut root = serde_json::to_value(Policy::default())?;
+        let mut node = &mut root;
         for part in field.split('.') {
-            let known = field_names(place);
-            place = place.get_mut(part).with_context(|| {
-                format!("field `{field}`: there is no `{part}`; known: {known}")
+            let known = field_names(node);
+            node = node.get_mut(part).with_context(|| {
+                format!("field `{field}`: unknown field `{part}`; known fields: {known}")
             })?;
         }
-        *place = value;
-        let policy: Policy = serde_path_to_error::deserialize(all)
+        *node = value;
+        let policy: Policy = serde_path_to_error::deserialize(root)
             .map_err(|e| anyhow::anyhow!("field `{}`: {}", e.path(), e.inner()))?;
         policy.check()?;
         Ok(Self { name: text.to_string(), policy })
     }
 }
 
-/// The fields of a table.
-fn field_names(table: &Value) -> String {
+/// Comma-separated field names of a JSON object.
+fn field_names(object: &Value) -> String {
     let names: Vec<&str> =
-        table.as_object().into_iter().flatten().map(|(name, _)| name.as_str()).collect();
+        object.as_object().into_iter().flatten().map(|(name, _)| name.as_str()).collect();
     names.join(", ")
 }
