--- a/src/trial/caller.rs
+++ b/src/trial/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: open flows, send one request after the other, and send again what
-//! is not answered, as the platform's callers do.
+//! Callers: open flows, send one request at a time and retransmit it until it is
+//! answered.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,25 +17,27 @@
 use crate::flow::{Flags, Flow, Segment};
 use crate::platform::packet;
 
-/// When the copies of an open follow the first, and when it is given up.
+/// How long to wait for a SYN-ACK after each SYN; after the last wait the caller
+/// gives up.
 const SYN_WAITS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(800)];
 
-/// First pause before a request is sent again; it doubles up to [`MOST`].
+/// Initial retransmission timeout of a request; it doubles up to [`MAX_RTO`].
 const INITIAL_RTO: Duration = Duration::from_millis(200);
 
-/// Longest pause before a request is sent again.
+/// Upper bound of the retransmission timeout.
 const MAX_RTO: Duration = Duration::from_millis(1_600);
 
-/// How long a request may take.
+/// When a caller gives up a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Pause between two requests of a feed.
+/// Pause of a feed between a response and the next request.
 const FEED_PAUSE: Duration = Duration::from_millis(200);
 
+/// Delivers the packets of one flow to its task.
 type Inbox = mpsc::UnboundedSender<(Segment, Vec<u8>)>;
 
-/// One caller's VM: a socket and the flows behind it.
+/// The callers of one data centre: a UDP socket shared by their flows.
 pub struct CallerSocket {
     sock: Rc<UdpSocket>,
     zone: usize,
@@ -45,16 +47,21 @@
 }
 
 impl CallerSocket {
-    /// A caller's VM at `local` in data centre `zone`.
+    /// Binds `local` for the callers of data centre `zone`, and starts to
+    /// distribute received packets to flows.
     pub async fn bind(local: SocketAddrV4, zone: u8, router: Rc<Router>) -> anyhow::Result<Self> {
-        let sock = Rc::new(UdpSocket::bind(local).await.context("trial: binding callers")?);
+        let sock = Rc::new(
+            UdpSocket::bind(local)
+                .await
+                .with_context(|| format!("trial: binding the callers' socket {local}"))?,
+        );
         let flows: Rc<RefCell<HashMap<Flow, Inbox>>> = Rc::default();
-        let (from, to) = (sock.clone(), flows.clone());
+        let (reader_sock, reader_flows) = (sock.clone(), flows.clone());
         let reader = tokio::task::spawn_local(async move {
             let mut buf = [0; 2_048];
-            while let Ok((n, _)) = from.recv_from(&mut buf).await {
+            while let Ok((n, _)) = reader_sock.recv_from(&mut buf).await {
                 let Ok(seg) = packet::decode(&buf[..n]) else { continue };
-                if let Some(inbox) = to.borrow().get(&seg.flow_from_target()) {
+                if let Some(inbox) = reader_flows.borrow().get(&seg.flow_from_target()) {
                     let _ = inbox.send((seg, buf[packet::HEADER_LEN..n].to_vec()));
                 }
             }
@@ -77,36 +84,38 @@
     }
 }
 
-/// One open flow.
+/// A flow from the caller's side.
 struct OpenFlow {
     socket: Rc<CallerSocket>,
     flow: Flow,
     inbox: mpsc::UnboundedReceiver<(Segment, Vec<u8>)>,
+    /// Sequence number of the next request.
     seq: u32,
+    /// Next byte expected from the target.
     ack: u32,
-    /// The target finished after its last answer.
+    /// The target closed the flow with its last response.
     finished: bool,
 }
 
 impl OpenFlow {
-    /// Opens a flow, or says that it could not be opened.
-    async fn open(line: &Rc<CallerSocket>, port: u16, service: SocketAddrV4) -> Option<Self> {
-        let flow = Flow { caller: SocketAddrV4::new(line.ip(), port), vip: service };
+    /// Opens a flow from `port`. `None` if it was reset or no SYN was answered.
+    async fn open(socket: &Rc<CallerSocket>, port: u16, service: SocketAddrV4) -> Option<Self> {
+        let flow = Flow { caller: SocketAddrV4::new(socket.ip(), port), vip: service };
         let (tx, inbox) = mpsc::unbounded_channel();
-        line.flows.borrow_mut().insert(flow, tx);
+        socket.flows.borrow_mut().insert(flow, tx);
         let seq: u32 = rand::random();
-        let mut call = Self { socket: line.clone(), flow, inbox, seq, ack: 0, finished: false };
-        for (copy, wait) in (0_u32..).zip(SYN_WAITS) {
+        let mut open = Self { socket: socket.clone(), flow, inbox, seq, ack: 0, finished: false };
+        for (repeat, wait) in (0_u32..).zip(SYN_WAITS) {
             let syn = Flags { syn: true, ..Flags::default() };
-            line.send(flow, syn, seq, copy, &[]).await;
-            let Some((seg, _)) = call.receive_within(wait).await else { continue };
+            socket.send(flow, syn, seq, repeat, &[]).await;
+            let Some((seg, _)) = open.receive_within(wait).await else { continue };
             if seg.flags.rst {
                 return None;
             }
             if seg.flags.syn {
-                call.seq = seq.wrapping_add(1);
-                call.ack = seg.seq.wrapping_add(1);
-                return Some(call);
+                open.seq = seq.wrapping_add(1);
+                open.ack = seg.seq.wrapping_add(1);
+                return Some(open);
             }
         }
         None
@@ -116,16 +125,16 @@
         tokio::time::timeout(wait, self.inbox.recv()).await.ok().flatten()
     }
 
-    /// Sends one request and waits for its answer; says whether it came.
+    /// Sends a request, with retransmissions, and returns whether it was answered.
     async fn request(&mut self, text: &str) -> bool {
         let flags = Flags { ack: true, ..Flags::default() };
         let end = Instant::now() + REQUEST_TIMEOUT;
-        let mut pause = INITIAL_RTO;
+        let mut rto = INITIAL_RTO;
         while Instant::now() < end {
             self.socket.send(self.flow, flags, self.seq, self.ack, text.as_bytes()).await;
-            let again = Instant::now() + pause;
+            let retransmit_at = Instant::now() + rto;
             while let Some((seg, data)) =
-                self.receive_within(again.saturating_duration_since(Instant::now())).await
+                self.receive_within(retransmit_at.saturating_duration_since(Instant::now())).await
             {
                 if seg.flags.rst {
                     return false;
@@ -137,7 +146,7 @@
                     return true;
                 }
             }
-            pause = (pause * 2).min(MAX_RTO);
+            rto = (rto * 2).min(MAX_RTO);
         }
         false
     }
@@ -155,16 +164,16 @@
     }
 }
 
-/// Plays feeds and single requests until `end`.
+/// Runs `feeds` feeds and `rate` single requests per second until `end`.
 pub async fn run_workload(
-    line: CallerSocket,
+    socket: CallerSocket,
     vip: Ipv4Addr,
     feeds: u16,
     rate: u16,
     end: Instant,
     report: Rc<RefCell<Report>>,
 ) {
-    let line = Rc::new(line);
+    let socket = Rc::new(socket);
     let mut tasks = JoinSet::new();
     let mut port = 1_024_u16;
     let mut next = move || {
@@ -174,23 +183,24 @@
     for i in 0..feeds {
         let service = SERVICES[usize::from(i) % SERVICES.len()];
         let first = next();
-        tasks.spawn_local(run_feed(line.clone(), vip, service, first, end, report.clone()));
+        tasks.spawn_local(run_feed(socket.clone(), vip, service, first, end, report.clone()));
     }
     let gap = Duration::from_secs(1) / u32::from(rate.max(1));
     let mut n = 0;
     while Instant::now() < end {
         let service = SERVICES[n % SERVICES.len()];
         n += 1;
-        tasks.spawn_local(run_single_request(line.clone(), vip, service, next(), report.clone()));
+        tasks.spawn_local(run_single_request(socket.clone(), vip, service, next(), report.clone()));
         tokio::time::sleep(gap).await;
     }
     while tasks.join_next().await.is_some() {}
-    line.reader.abort();
+    socket.reader.abort();
 }
 
-/// Asks on one flow; where the target finished the flow, on a new one.
+/// Sends requests on one flow until `end`, on a new one whenever it was closed or
+/// a request failed.
 async fn run_feed(
-    line: Rc<CallerSocket>,
+    socket: Rc<CallerSocket>,
     vip: Ipv4Addr,
     (service, route): (&'static str, u16),
     first: u16,
@@ -199,50 +209,53 @@
 ) {
     let mut port = first;
     while Instant::now() < end {
-        let Some(mut call) = OpenFlow::open(&line, port, SocketAddrV4::new(vip, route)).await
+        let Some(mut flow) = OpenFlow::open(&socket, port, SocketAddrV4::new(vip, route)).await
         else {
             report.borrow_mut().failed += 1;
             port = port.wrapping_add(20_000);
             continue;
         };
-        while Instant::now() < end && !call.finished {
-            if !measure_request(&mut call, service, &report).await {
+        while Instant::now() < end && !flow.finished {
+            if !measure_request(&mut flow, service, &report).await {
                 report.borrow_mut().broken += 1;
                 break;
             }
             tokio::time::sleep(FEED_PAUSE).await;
         }
-        call.close().await;
+        flow.close().await;
         port = port.wrapping_add(20_000);
     }
 }
 
+/// Opens a flow for one request.
 async fn run_single_request(
-    line: Rc<CallerSocket>,
+    socket: Rc<CallerSocket>,
     vip: Ipv4Addr,
     (service, route): (&'static str, u16),
     port: u16,
     report: Rc<RefCell<Report>>,
 ) {
-    match OpenFlow::open(&line, port, SocketAddrV4::new(vip, route)).await {
-        Some(mut call) => {
-            measure_request(&mut call, service, &report).await;
-            call.close().await;
+    match OpenFlow::open(&socket, port, SocketAddrV4::new(vip, route)).await {
+        Some(mut flow) => {
+            measure_request(&mut flow, service, &report).await;
+            flow.close().await;
         }
         None => report.borrow_mut().failed += 1,
     }
 }
 
-async fn measure_request(call: &mut OpenFlow, service: &str, report: &RefCell<Report>) -> bool {
+/// Sends one request on an open flow and records its result; returns whether it
+/// was answered.
+async fn measure_request(flow: &mut OpenFlow, service: &str, report: &RefCell<Report>) -> bool {
     let text = format!("{service} {:x}", rand::random::<u64>());
     let started = Instant::now();
-    let ok = call.request(&text).await;
-    let mut seen = report.borrow_mut();
+    let ok = flow.request(&text).await;
+    let mut results = report.borrow_mut();
     if ok {
-        seen.served += 1;
-        seen.latencies_ms.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
+        results.served += 1;
+        results.latencies_ms.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
     } else {
-        seen.failed += 1;
+        results.failed += 1;
     }
     ok
 }
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -1,9 +1,8 @@
-//! A trial of the platform's form on loopback: the store stand-in, balancers
-//! and agents as processes of this binary; callers, routers and targets as
-//! tasks of this one, which speak the platform's packets. For trying the
-//! roles out and for tests, where the platform itself is not at hand.
+//! An end-to-end trial on loopback addresses. Store, balancers and agents run as
+//! child processes; callers, routers and targets are tasks of this process that
+//! exchange the platform's packets.
 //!
-//! The ends are simple: one packet a request, one an answer, one in flight.
+//! Requests and responses are one packet each, with one in flight per flow.
 
 mod caller;
 mod plan;
@@ -32,10 +31,10 @@
 use router::Router;
 use target::Target;
 
-/// Timeout of one call to the store stand-in, on the same machine.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a trial may take to come up.
+/// How long to wait for all processes to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A running trial.
@@ -46,26 +45,27 @@
     children: Children,
     targets: Vec<Target>,
     router: Rc<Router>,
-    /// What was seen so far.
+    /// Results so far.
     pub report: Rc<RefCell<Report>>,
 }
 
 impl Trial {
-    /// Starts the trial's processes from the binary `exe`, with settings and
-    /// logs in `dir`, and waits until every balancer is ready and every target
-    /// has reported.
+    /// Starts the processes from the binary `exe`, with settings and logs in
+    /// `dir`, and waits until every balancer is ready and every target's report
+    /// was acknowledged.
     ///
     /// # Errors
     ///
-    /// Fails when a process cannot start or the trial is not up in time.
+    /// Fails if a process cannot start or is not ready in time.
     pub async fn start(exe: &Path, dir: &Path, plan: Plan) -> anyhow::Result<Self> {
-        std::fs::create_dir_all(dir).context("trial: making its folder")?;
+        std::fs::create_dir_all(dir)
+            .with_context(|| format!("trial: creating {}", dir.display()))?;
         let ports = Ports { base: plan.base_port };
         let zones = 0..ZONES.len() as u8;
         let balancers: Vec<Vec<SocketAddrV4>> = zones
             .map(|z| {
-                let of = |n| SocketAddrV4::new(balancer_ip(z, n), ports.packets());
-                (0..plan.balancers).map(of).collect()
+                let addr = |n| SocketAddrV4::new(balancer_ip(z, n), ports.packets());
+                (0..plan.balancers).map(addr).collect()
             })
             .collect();
         let mut trial = Self {
@@ -101,11 +101,11 @@
         Ok(())
     }
 
-    /// Writes the configuration as the operators would, as `version`.
+    /// Writes the route configuration to the store as version `version`.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not take it.
+    /// Fails if the store does not accept it.
     pub async fn write_config(&self, version: u64) -> anyhow::Result<()> {
         let used = SERVICES.map(|(service, port)| (service, SocketAddrV4::new(VIP, port)));
         let idle = (0..self.plan.idle_routes)
@@ -119,7 +119,7 @@
         put.context("trial: writing the configuration")
     }
 
-    /// The labels of all balancers and agents.
+    /// Labels of all balancers and agents, as [`Trial::launch`] takes them.
     #[must_use]
     pub fn labels(&self) -> Vec<String> {
         let mut labels = Vec::new();
@@ -139,17 +139,17 @@
         Ok(path.display().to_string())
     }
 
-    /// Starts the process of `label`, again where it ran before.
+    /// Starts, or restarts, the balancer or agent `label`.
     ///
     /// # Errors
     ///
-    /// Fails when the label names none or the process cannot be started.
+    /// Fails if the label is invalid or the process cannot be started.
     pub fn launch(&mut self, label: &str) -> anyhow::Result<()> {
         let mut parts = label.split('-');
         let role = parts.next().unwrap_or_default().to_string();
         let mut number = || parts.next().and_then(|p| p.parse::<u8>().ok());
         let (Some(group), Some(n)) = (number(), number()) else {
-            bail!("trial: no process `{label}`");
+            bail!("trial: invalid process label `{label}`");
         };
         let p = self.ports;
         let seeds: Vec<_> =
@@ -203,22 +203,23 @@
             self.children.check_alive()?;
             self.router.probe().await;
             if self.router.all_ready() && self.targets.iter().all(Target::acknowledged) {
-                // The balancers' views may lag the agents' entries.
+                // Balancers may not have read the agents' store entries yet.
                 tokio::time::sleep(Duration::from_millis(800)).await;
                 return Ok(());
             }
             if Instant::now() > deadline {
-                bail!("trial: not up within {START_TIMEOUT:?}; logs in {}", self.dir.display());
+                bail!("trial: not ready within {START_TIMEOUT:?}; logs in {}", self.dir.display());
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Plays the plan's load; `change` runs beside it.
+    /// Runs the plan's load, with `change` running at the same time, and returns
+    /// the results once all callers are done.
     ///
     /// # Errors
     ///
-    /// Fails when `change` does or a caller cannot start.
+    /// Fails if `change` fails or a caller cannot start.
     pub async fn run_load<C>(&mut self, change: C) -> anyhow::Result<Report>
     where
         C: AsyncFnOnce(&mut Self) -> anyhow::Result<()>,
@@ -236,7 +237,7 @@
         }
         let changed = change(self).await;
         while let Some(done) = callers.join_next().await {
-            done.context("trial: a caller")?;
+            done.context("trial: caller task failed")?;
         }
         probing.abort();
         let _ = probing.await;
@@ -244,42 +245,44 @@
         Ok(self.report.borrow().clone())
     }
 
-    /// Has a target say that it leaves, serve on for a while, and end.
+    /// Makes the target `name` report that it drains and leave after a while.
     pub fn drain_target(&self, name: &str) {
         if let Some(t) = self.targets.iter().find(|t| t.name() == name) {
             t.drain();
         }
     }
 
-    /// Stops one process (SIGTERM) and waits for its end.
+    /// Stops a process with SIGTERM and waits for its exit.
     pub async fn stop(&mut self, label: &str) {
         self.children.stop(label).await;
     }
 
-    /// Kills one process.
+    /// Kills a process.
     pub fn kill(&mut self, label: &str) {
         self.children.kill(label);
     }
 
-    /// Sends a signal to one process.
+    /// Sends a signal to a process.
     pub fn signal(&self, label: &str, signal: Signal) {
         self.children.send(label, signal);
     }
 
-    /// The metrics and beliefs address of one process.
+    /// Address of a process's metrics and beliefs: of balancer `n` in data centre
+    /// `group` if `entry` is set, else of agent `n` of service `group`.
     #[must_use]
     pub fn metrics_addr(&self, entry: bool, group: u8, n: u8) -> SocketAddrV4 {
         let ip = if entry { balancer_ip(group, n) } else { target_ip(group, n) };
         SocketAddrV4::new(ip, self.ports.metrics())
     }
 
-    /// The store stand-in's address.
+    /// Address of the store.
     #[must_use]
     pub fn store_addr(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.ports.store())
     }
 
-    /// Stops everything and joins it.
+    /// Stops all targets and processes. Returns the labels of processes that had
+    /// to be killed.
     pub async fn down(self) -> Vec<String> {
         for t in self.targets {
             t.stop().await;
@@ -288,13 +291,13 @@
     }
 }
 
-/// Plays a calm trial and prints what was seen.
+/// Runs a trial without faults and prints its results.
 ///
 /// # Errors
 ///
-/// Fails when the trial cannot start.
+/// Fails if the trial cannot start.
 pub async fn run(plan: Plan) -> anyhow::Result<()> {
-    let exe = std::env::current_exe().context("trial: finding this binary")?;
+    let exe = std::env::current_exe().context("trial: locating this binary")?;
     let dir = std::env::temp_dir().join(format!("jujubepost-trial-{}", std::process::id()));
     let mut trial = Trial::start(&exe, &dir, plan).await?;
     let report = trial.run_load(async |_: &mut Trial| Ok(())).await?;
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -1,53 +1,52 @@
-//! The size of a trial, its load, and the addresses and ports that it uses.
+//! Size, load, addresses and ports of a trial.
 
 use std::net::Ipv4Addr;
 
 use super::FlowHash;
 
-/// The data centres of a trial.
+/// Names of the data centres.
 pub const ZONES: [&str; 2] = ["gjw-a", "gjw-b"];
 
-/// The services of a trial, and the port of each one's route.
+/// Names of the services, and the port of the route of each.
 pub const SERVICES: [(&str, u16); 2] = [("meter", 443), ("fieldlog", 8_443)];
 
-/// Address that callers call.
+/// Service address of all routes with traffic.
 pub const VIP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
 
-/// Address of the routes without traffic.
+/// Service address of the routes without traffic.
 pub const IDLE_VIP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 2);
 
-/// First port of the routes without traffic.
+/// Port of the first route without traffic; the others follow.
 pub const FIRST_IDLE_PORT: u16 = 1_000;
 
-/// The size of a trial and its load.
+/// Size and load of a trial.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Plan {
-    /// First port; the trial uses twenty from it on, at loopback addresses of
-    /// its own.
+    /// First of the twenty ports that the trial uses, on loopback addresses.
     #[arg(long = "base", value_name = "BASE", default_value_t = 25_000)]
     pub base_port: u16,
-    /// Balancers in each of the two data centres.
+    /// Balancers per data centre; there are two data centres.
     #[arg(long, default_value_t = 2)]
     pub balancers: u8,
-    /// Targets of each of the two services.
+    /// Targets per service; there are two services.
     #[arg(long, default_value_t = 3)]
     pub targets: u8,
-    /// Callers that hold a flow open and ask again and again.
+    /// Callers that send requests continuously on a flow that stays open.
     #[arg(long, default_value_t = 20)]
     pub feeds: u16,
-    /// Requests a second on flows of their own.
+    /// Requests per second on new flows.
     #[arg(long, default_value_t = 50)]
     pub rate: u16,
-    /// How long the load lasts, in seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 5)]
     pub secs: u64,
-    /// How routers spread flows over balancers.
+    /// How routers choose the balancer of a flow.
     #[arg(long, value_enum, default_value_t = FlowHash::Modulo)]
     pub hash: FlowHash,
-    /// Routes without traffic.
+    /// Number of routes without traffic, to enlarge the configuration.
     #[arg(long, default_value_t = 0)]
     pub idle_routes: u16,
-    /// From what size on, in KiB, the configuration is handed on in parts.
+    /// Size in KiB from which the configuration is relayed in parts.
     #[arg(long, default_value_t = 256)]
     pub relay_kib: usize,
 }
@@ -68,27 +67,27 @@
     }
 }
 
-/// The ports of a trial, from its first port on.
+/// Ports of a trial, the same at each of its addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
-    /// The first port.
+    /// First port of the range.
     pub base: u16,
 }
 
 impl Ports {
-    /// Where callers and balancers take packets.
+    /// Where callers, balancers and agents receive packets.
     pub const fn packets(self) -> u16 {
         self.base
     }
-    /// Where readiness is asked for.
+    /// Readiness endpoint of balancers and agents.
     pub const fn ready(self) -> u16 {
         self.base + 1
     }
-    /// Where an agent takes its target's packets.
+    /// Where an agent receives its target's packets.
     pub const fn outbound(self) -> u16 {
         self.base + 2
     }
-    /// Where an agent takes its target's reports.
+    /// Where an agent receives its target's reports.
     pub const fn reports(self) -> u16 {
         self.base + 3
     }
@@ -96,15 +95,15 @@
     pub const fn app(self) -> u16 {
         self.base + 4
     }
-    /// Metrics and beliefs.
+    /// Metrics and beliefs endpoint.
     pub const fn metrics(self) -> u16 {
         self.base + 5
     }
-    /// The store stand-in.
+    /// Store.
     pub const fn store(self) -> u16 {
         self.base + 6
     }
-    /// What balancers and agents say to each other.
+    /// Messages between balancers and agents.
     pub const fn bus(self) -> u16 {
         self.base + 10
     }
@@ -120,7 +119,7 @@
     Ipv4Addr::new(127, 2, service + 1, n + 1)
 }
 
-/// Address of a data centre's callers.
+/// Address of the callers of a data centre.
 pub const fn caller_ip(zone: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 3, zone + 1, 1)
 }
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -1,43 +1,45 @@
-//! What callers and targets saw in a trial.
+//! Results of a trial, as observed by callers and targets.
 
 use std::collections::HashMap;
 
 use super::plan::SERVICES;
 
-/// What callers and targets saw.
+/// Results of a trial.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Requests answered.
     pub served: u32,
-    /// Requests that got no answer in time, or whose flow was reset.
+    /// Requests that timed out or whose flow was reset, and flows that could not
+    /// be opened.
     pub failed: u32,
-    /// Feeds whose flow broke.
+    /// Requests of feeds that failed on an open flow.
     pub broken: u32,
-    /// Requests that ran twice.
+    /// Requests that a target executed more than once.
     pub duplicates: u32,
     /// Requests that reached a target of another service.
     pub foreign: u32,
-    /// Flows opened at each target.
+    /// Flows opened, by target.
     pub flows_by_target: HashMap<String, u32>,
-    /// Times to the answer, in milliseconds.
+    /// Latencies of answered requests.
     pub latencies_ms: Vec<u64>,
 }
 
 impl Report {
-    /// Flows of the busiest target of a service over the mean.
+    /// Flows of the busiest target of a service, relative to the mean.
     #[must_use]
     pub fn flow_imbalance(&self, service: &str) -> f64 {
-        let of = |(name, n): (&String, &u32)| name.starts_with(service).then_some(f64::from(*n));
-        let flows: Vec<f64> = self.flows_by_target.iter().filter_map(of).collect();
+        let in_service =
+            |(name, n): (&String, &u32)| name.starts_with(service).then_some(f64::from(*n));
+        let flows: Vec<f64> = self.flows_by_target.iter().filter_map(in_service).collect();
         let mean = flows.iter().sum::<f64>() / flows.len().max(1) as f64;
         flows.iter().copied().fold(0.0, f64::max) / mean.max(1.0)
     }
 
     fn latency_quantile_ms(&self, q: f64) -> u64 {
-        let mut times = self.latencies_ms.clone();
-        times.sort_unstable();
-        let at = (times.len() as f64 * q) as usize;
-        times.get(at.min(times.len().saturating_sub(1))).copied().unwrap_or_default()
+        let mut sorted = self.latencies_ms.clone();
+        sorted.sort_unstable();
+        let rank = (sorted.len() as f64 * q) as usize;
+        sorted.get(rank.min(sorted.len().saturating_sub(1))).copied().unwrap_or_default()
     }
 }
 
--- a/src/trial/router.rs
+++ b/src/trial/router.rs
@@ -1,5 +1,5 @@
-//! The platform's routers: each packet goes to a balancer of the caller's
-//! data centre by a hash of its addresses and ports over those that are ready.
+//! The platform's routers: choose a ready balancer of the caller's data centre for
+//! each packet, by a hash of its addresses and ports.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -10,19 +10,20 @@
 use crate::flow::Flow;
 use crate::platform::READY_PATH;
 
-/// How often each balancer is asked whether it is ready.
+/// Interval of readiness probes, and timeout of each.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Misses after which a balancer is out of rotation.
+/// Consecutive failed probes after which a balancer is out of rotation.
 const MAX_MISSED_PROBES: u32 = 2;
 
-/// How flows are spread over the balancers in rotation.
+/// How routers choose the balancer of a flow among those in rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum FlowHash {
-    /// By the remainder: a change of the rotation moves nearly all flows.
+    /// Hash modulo the number of balancers: a balancer that joins or leaves moves
+    /// nearly all flows.
     #[value(name = "mod")]
     Modulo,
-    /// By preference: a change moves only the flows of that balancer.
+    /// Rendezvous hashing: only the flows of that balancer move.
     #[value(name = "steady")]
     Rendezvous,
 }
@@ -33,7 +34,7 @@
     missed_probes: u32,
 }
 
-/// The routers of all data centres.
+/// Routers of all data centres.
 #[derive(Debug)]
 pub struct Router {
     zones: RefCell<Vec<Vec<Balancer>>>,
@@ -42,10 +43,11 @@
 }
 
 impl Router {
-    /// Routers over `balancers`, by data centre, none ready yet.
+    /// Creates routers for `balancers`, grouped by data centre. None is in rotation
+    /// before its first successful probe.
     pub fn new(balancers: Vec<Vec<SocketAddrV4>>, ready_port: u16, hash: FlowHash) -> Self {
-        let out = |addr| Balancer { addr, missed_probes: MAX_MISSED_PROBES };
-        let zones = balancers.into_iter().map(|z| z.into_iter().map(out).collect()).collect();
+        let new = |addr| Balancer { addr, missed_probes: MAX_MISSED_PROBES };
+        let zones = balancers.into_iter().map(|z| z.into_iter().map(new).collect()).collect();
         Self { zones: RefCell::new(zones), ready_port, hash }
     }
 
@@ -54,7 +56,9 @@
         self.zones.borrow().iter().flatten().all(|b| b.missed_probes < MAX_MISSED_PROBES)
     }
 
-    /// The balancer for a packet of `flow` from data centre `zone`.
+    /// Chooses the balancer for a packet of `flow` from data centre `zone`. If
+    /// fewer than half of the data centre's balancers are ready, all of them are
+    /// candidates.
     pub fn pick(&self, zone: usize, flow: Flow) -> Option<SocketAddrV4> {
         let zones = self.zones.borrow();
         let home = zones.get(zone)?;
@@ -72,15 +76,15 @@
         }
     }
 
-    /// Asks every balancer once.
+    /// Probes every balancer once.
     pub async fn probe(&self) {
         let addrs: Vec<SocketAddrV4> =
             self.zones.borrow().iter().flatten().map(|b| b.addr).collect();
         let client = Client::new().await;
         for addr in addrs {
             let url = format!("http://{}:{}{READY_PATH}", addr.ip(), self.ready_port);
-            let asked = tokio::time::timeout(PROBE_INTERVAL, client.get(url).send()).await;
-            let ready = matches!(asked, Ok(Ok(res)) if res.status().is_success());
+            let response = tokio::time::timeout(PROBE_INTERVAL, client.get(url).send()).await;
+            let ready = matches!(response, Ok(Ok(res)) if res.status().is_success());
             let mut zones = self.zones.borrow_mut();
             if let Some(b) = zones.iter_mut().flatten().find(|b| b.addr == addr) {
                 b.missed_probes = if ready { 0 } else { b.missed_probes + 1 };
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Asks every balancer again and again.
+    /// Probes all balancers periodically; never returns.
     pub async fn keep_probing(&self) {
         loop {
             self.probe().await;
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -1,6 +1,5 @@
-//! A target: answers opens with a sequence number of its own, runs each
-//! request once, gives back packets of flows that it does not hold, and
-//! reports itself to the agent beside it.
+//! Targets: accept flows, execute requests, bounce packets of flows that they do
+//! not hold, and send heartbeats to the agent on the same VM.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -17,42 +16,43 @@
 use crate::platform::{instances, packet};
 use crate::tracker;
 
-/// How often a target reports itself.
+/// Interval of a target's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a request takes.
+/// Execution time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// How long a leaving target serves on after its report was acknowledged.
+/// How long a draining target keeps serving before it leaves.
 const DRAIN_TIME: Duration = Duration::from_millis(3_000);
 
+/// State shared by a target's tasks.
 #[derive(Debug, Default)]
 struct TargetState {
     draining: Cell<bool>,
     acknowledged: Cell<bool>,
 }
 
-/// A running target.
+/// Handle of a running target.
 pub struct Target {
     name: String,
     state: Rc<TargetState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// One open flow.
+/// A flow from the target's side.
 #[derive(Clone, Debug)]
 struct TargetFlow {
-    /// Next byte expected of the caller.
+    /// Next byte expected from the caller.
     expected_seq: u32,
-    /// Next byte sent.
+    /// Sequence number of the last byte sent.
     seq: u32,
-    /// The last answer, sent again when its request comes again.
+    /// Last response, repeated when its request is retransmitted.
     last_response: Option<Vec<u8>>,
 }
 
 impl Target {
-    /// Starts a target of `service` at `app`, whose packets go to `outbound`
-    /// and reports to `reports`.
+    /// Starts a target of `service` at `app`. It sends its packets to `outbound`
+    /// and its heartbeats to `reports`.
     pub async fn start(
         name: String,
         service: &'static str,
@@ -61,10 +61,13 @@
         reports: SocketAddrV4,
         report: Rc<RefCell<Report>>,
     ) -> anyhow::Result<Self> {
-        let sock = UdpSocket::bind(app).await.context("trial: binding a target")?;
-        // A target also listens for status checks; the open port says that it
-        // lives.
-        let port = TcpListener::bind(app).await.context("trial: binding a target's port")?;
+        let sock = UdpSocket::bind(app)
+            .await
+            .with_context(|| format!("trial: binding target {name} to UDP {app}"))?;
+        // The agent connects to this port to check whether the target is alive.
+        let port = TcpListener::bind(app)
+            .await
+            .with_context(|| format!("trial: binding target {name} to TCP {app}"))?;
         report.borrow_mut().flows_by_target.insert(name.clone(), 0);
         let state = Rc::new(TargetState::default());
         let server = Server {
@@ -78,10 +81,10 @@
             executed: HashSet::new(),
         };
         let id = format!("i-{name}-{:x}", rand::random::<u32>());
-        let beat = send_heartbeats(id, service, app, reports, state.clone());
+        let heartbeats = send_heartbeats(id, service, app, reports, state.clone());
         let tasks = vec![
             tokio::task::spawn_local(server.serve()),
-            tokio::task::spawn_local(beat),
+            tokio::task::spawn_local(heartbeats),
             tokio::task::spawn_local(async move {
                 while let Ok((stream, _)) = port.accept().await {
                     drop(stream);
@@ -91,22 +94,22 @@
         Ok(Self { name, state, tasks })
     }
 
-    /// Its name.
+    /// Name of the target, unique in the trial.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether its agent has acknowledged a report.
+    /// Whether its agent has acknowledged a heartbeat.
     pub fn acknowledged(&self) -> bool {
         self.state.acknowledged.get()
     }
 
-    /// Says from now on that it leaves.
+    /// Reports from now on that it is draining; it leaves after [`DRAIN_TIME`].
     pub fn drain(&self) {
         self.state.draining.set(true);
     }
 
-    /// Ends it.
+    /// Ends the target at once.
     pub async fn stop(self) {
         for task in self.tasks {
             task.abort();
@@ -115,7 +118,7 @@
     }
 }
 
-/// Reports the target until it has left.
+/// Sends heartbeats until the target has drained, then reports that it is gone.
 async fn send_heartbeats(
     id: String,
     service: &'static str,
@@ -124,12 +127,12 @@
     state: Rc<TargetState>,
 ) {
     let client = ntex::client::Client::new().await;
-    let mut left = DRAIN_TIME;
+    let mut drain_left = DRAIN_TIME;
     for seq in 1_u64.. {
         let draining = state.draining.get();
-        let word =
+        let reported =
             if draining { tracker::TargetState::Draining } else { tracker::TargetState::Ready };
-        let body = instances::heartbeat_json(service, app, word, seq);
+        let body = instances::heartbeat_json(service, app, reported, seq);
         let url = format!("http://{reports}{}{id}", instances::HEARTBEAT_PATH);
         let call = client.post(url).send_json(&body);
         let ok = matches!(
@@ -138,8 +141,8 @@
         );
         state.acknowledged.set(state.acknowledged.get() || ok);
         if draining {
-            left = left.saturating_sub(HEARTBEAT_INTERVAL);
-            if left.is_zero() {
+            drain_left = drain_left.saturating_sub(HEARTBEAT_INTERVAL);
+            if drain_left.is_zero() {
                 let url = format!("http://{reports}{}{id}", instances::DEREGISTER_PATH);
                 let _ = client.post(url).send().await;
                 return;
@@ -149,6 +152,7 @@
     }
 }
 
+/// Serves a target's packets.
 struct Server {
     name: String,
     service: &'static str,
@@ -194,9 +198,9 @@
             return;
         }
         let Some(open) = self.flows.get_mut(&flow) else {
-            let mut back = bytes.to_vec();
-            packet::set_bounced(&mut back);
-            let _ = self.sock.send_to(&back, self.outbound).await;
+            let mut bounced = bytes.to_vec();
+            packet::set_bounced(&mut bounced);
+            let _ = self.sock.send_to(&bounced, self.outbound).await;
             return;
         };
         if seg.flags.fin {
@@ -213,7 +217,8 @@
         }
     }
 
-    /// Runs one request, `service id`, and answers it.
+    /// Executes the request `text`, a service name and a request id, and sends the
+    /// response.
     async fn execute(&mut self, flow: Flow, text: &str) {
         let (service, id) = text.split_once(' ').unwrap_or_default();
         {
