--- a/tests/experiment.rs
+++ b/tests/experiment.rs
@@ -1,5 +1,5 @@
-//! Policies compared on the model: the same table from the same seeds, pairs by
-//! seed, and errors that name what there is none of.
+//! Comparison of policies: reproducible tables, output files, and errors for
+//! invalid arguments.
 
 use jujubepost::experiment::{Args, Distribution, Variant, compare, report};
 use jujubepost::policy::{Mechanism, Policy};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn same_table_twice() {
+fn same_seeds_give_same_table() {
     let tables = [(), ()].map(|()| report::table(&compare(&args("burst")).unwrap().1));
     assert_eq!(tables[0], tables[1]);
     let rows: Vec<&str> = tables[0].lines().skip(2).collect();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn page_and_csv() {
+fn writes_csv_and_page() {
     let dir = std::env::temp_dir().join(format!("jujubepost-experiment-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (patterns, rows) = compare(&args("calm")).unwrap();
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn unknown_named() {
-    let mut none = args("clam");
-    let e = format!("{:#}", compare(&none).unwrap_err());
+fn errors_name_unknown_patterns_and_fields() {
+    let mut invalid = args("clam");
+    let e = format!("{:#}", compare(&invalid).unwrap_err());
     assert!(e.contains("`clam`") && e.contains("calm_grown"), "{e}");
     for (text, words) in [
         ("steer.anwser=60", ["`anwser`", "answer"]),
@@ -52,22 +52,22 @@
         ("steer.round=0", ["policy.steer.round", "at least 1"]),
         ("steer", ["FIELD=VALUE", ""]),
     ] {
-        none = Args { set: vec![text.to_string()], ..args("calm") };
-        let e = format!("{:#}", compare(&none).unwrap_err());
+        invalid = Args { set: vec![text.to_string()], ..args("calm") };
+        let e = format!("{:#}", compare(&invalid).unwrap_err());
         assert!(words.iter().all(|w| e.contains(w)), "{text}: {e}");
     }
 }
 
-/// Each mechanism changes something, so that an ablation says something.
+/// Guards against a mechanism that an ablation cannot switch off.
 #[test]
-fn mechanisms_differ() {
+fn each_mechanism_changes_the_policy() {
     for m in <Mechanism as clap::ValueEnum>::value_variants() {
         assert_ne!(Variant::without(*m).policy, Policy::default(), "{m}");
     }
 }
 
 #[test]
-fn spread_of_values() {
+fn distribution_of_even_count() {
     let s = Distribution::of([3.0, 1.0, 2.0, 9.0]);
     assert_eq!((s.median, s.min, s.max), (2.5, 1.0, 9.0));
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,5 +1,5 @@
-//! Load and trouble on the model: what callers get while it lasts, and that
-//! service is back soon after its cause has ended.
+//! Simulated faults and overload: requests served during a fault, and recovery
+//! soon after it has ended.
 
 use std::time::Duration;
 
@@ -10,22 +10,24 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn run(pattern: &Pattern, seed: u64) -> Stats {
-    let t = simulate(pattern, &Policy::default(), seed);
-    assert_eq!((t.broken, t.misrouted, t.duplicates), (0, 0, 0), "{} seed {seed}", pattern.name);
-    t
+    let stats = simulate(pattern, &Policy::default(), seed);
+    let violations = (stats.broken, stats.misrouted, stats.duplicates);
+    assert_eq!(violations, (0, 0, 0), "{} seed {seed}", pattern.name);
+    stats
 }
 
 fn named(name: &str) -> Pattern {
     Pattern::by_name(name).unwrap()
 }
 
-/// Part served in time from `after` past the end of the last cause on.
-fn later(p: &Pattern, t: &Stats, after: Duration) -> f64 {
-    t.served_ratio_between(p.last_change_end() + after, p.site.load_duration)
+/// Share of requests served in time that began at least `delay` after the end of
+/// the last change.
+fn served_after(p: &Pattern, stats: &Stats, delay: Duration) -> f64 {
+    stats.served_ratio_between(p.last_change_end() + delay, p.site.load_duration)
 }
 
 #[test]
-fn same_seed_same_run() {
+fn same_seed_gives_same_result() {
     for name in ["power", "kill", "lossy"] {
         let p = named(name);
         let [a, b] = [run(&p, 7), run(&p, 7)].map(|t| format!("{t:?}"));
@@ -34,19 +36,19 @@
     }
 }
 
-/// Sixty-two VMs with nothing happening: a busy balancer whose timers and
-/// searches fed on each other served 4 of 100 in time.
+/// Guards against balancers that overload themselves without any fault, with
+/// timers and owner searches that cause each other.
 #[test]
-fn calm_stays_calm() {
+fn normal_load_is_served() {
     let t = run(&named("calm_grown"), 1);
     assert!(t.served_ratio() >= 0.99, "{}", t.served_ratio());
     assert!(t.messages_per_flow() < 5.0, "{} messages a flow", t.messages_per_flow());
 }
 
-/// Requests that are longer than a caller's window arrive without a pause: each
-/// acknowledgement lets the next packets go.
+/// Guards against requests longer than the send window that stall until a
+/// retransmission timeout.
 #[test]
-fn long_requests_flow() {
+fn requests_longer_than_window_do_not_stall() {
     let calm = Pattern { site: Site::dense(), changes: Vec::new(), ..named("calm") };
     let t = run(&calm, 1);
     for (n, class) in t.classes.iter().enumerate() {
@@ -54,10 +56,10 @@
     }
 }
 
-/// Balancers that join or stop move nearly all flows to others, which ask for
-/// their owners: no caller notices.
+/// Balancers that join or stop move nearly all flows to balancers which must first
+/// find the owners.
 #[test]
-fn reshuffle_unnoticed() {
+fn moved_flows_are_served_when_balancers_change() {
     for name in ["join_grown", "roll_grown", "roll_steady"] {
         let t = run(&named(name), 1);
         assert!(t.served_ratio() >= 0.99, "{name}: {}", t.served_ratio());
@@ -65,52 +67,49 @@
     }
 }
 
-/// A loss of all power is over for callers 2 s after its end, on links of 4 to
-/// 200 Mbit/s. Before questions had a budget it lasted to the end of the run.
+/// Guards against queries without a budget that keep links congested after a power
+/// loss, at link bandwidths of 4 to 200 Mbit/s.
 #[test]
-fn power_returns() {
+fn recovers_within_2s_of_power_loss() {
     for mbps in [4.0, 30.0, 200.0] {
-        for (site, part) in [(Site::small(), 0.95), (Site::grown(), 0.95)] {
+        for (site, bound) in [(Site::small(), 0.95), (Site::grown(), 0.95)] {
             let p = Pattern { site: site.with_link_mbps(mbps), ..named("power") };
-            let t = run(&p, 3);
-            let back = later(&p, &t, 2_000 * MS);
-            assert!(back >= part, "{mbps} Mbit/s, {} balancers: {back}", p.site.balancers);
+            let served = served_after(&p, &run(&p, 3), 2_000 * MS);
+            assert!(served >= bound, "{mbps} Mbit/s, {} balancers: {served}", p.site.balancers);
         }
     }
 }
 
-/// Every pattern's trouble ends with its cause: 2 s later service is back where
-/// it was, at the usual load, a fifth more, and where the site can bear it at
-/// twice the load.
+/// Two seconds after the last change of each pattern the service level is back to
+/// that without changes, at normal load and with 20 % more.
 #[test]
-fn trouble_ends() {
+fn recovers_from_every_pattern() {
     pattern::all().into_par_iter().filter(|p| !p.changes.is_empty()).for_each(|p| {
         for load in [1.0, 1.2] {
             let p = Pattern { site: p.site.clone().scale_load(load), ..p.clone() };
-            let calm = run(&Pattern { changes: Vec::new(), ..p.clone() }, 5).served_ratio();
-            let back = later(&p, &run(&p, 5), 2_000 * MS);
-            assert!(back >= calm - 0.05, "{} at {load}: {back}, calm {calm}", p.name);
+            let normal = run(&Pattern { changes: Vec::new(), ..p.clone() }, 5).served_ratio();
+            let served = served_after(&p, &run(&p, 5), 2_000 * MS);
+            assert!(served >= normal - 0.05, "{} at {load}: {served}, normal {normal}", p.name);
         }
     });
 }
 
-/// Targets that leave one after the other while every process starts anew: flows
-/// are found again within 2 s of the restart, not when the last target has left.
+/// Guards against flows that are found again only when the last of several leaving
+/// targets has left, instead of within 2 s of a restart of all processes.
 #[test]
-fn leaving_holds_nothing_up() {
+fn leaving_targets_do_not_delay_recovery() {
     let p = named("leave_dense");
     for seed in 1..=2 {
         let t = run(&p, seed);
-        // While targets still leave.
-        let back = t.served_ratio_between(6_500 * MS, 9_000 * MS);
-        assert!(back >= 0.95, "seed {seed}: {back}");
+        // Targets are still leaving in this interval.
+        let served = t.served_ratio_between(6_500 * MS, 9_000 * MS);
+        assert!(served >= 0.95, "seed {seed}: {served}");
     }
 }
 
-/// Agents and balancers that are stopped and started in turn, as when a release
-/// of this program is rolled out: callers hardly notice.
+/// A rolling restart of all agents and balancers, as in a release of this program.
 #[test]
-fn rolled_agents_known() {
+fn requests_are_served_during_rolling_restart() {
     let p = named("roll_agents_dense");
     for seed in 1..=2 {
         let t = run(&p, seed);
@@ -118,32 +117,28 @@
     }
 }
 
-/// Twice the load that the targets bear, then the usual: the queue of those that
-/// came too much does not outlive them.
+/// Guards against queues that persist after a burst above the targets' capacity.
 #[test]
-fn overload_ends() {
+fn recovers_within_2s_of_overload() {
     let burst = Change::LoadBurst(6.0, 3_000 * MS);
     for site in [Site::small(), Site::grown()] {
         let p = Pattern { site, changes: vec![(3_000 * MS, burst)], ..named("burst") };
         let t = run(&p, 2);
-        let back = later(&p, &t, 2_000 * MS);
-        assert!(back >= 0.95, "{} balancers: {back}", p.site.balancers);
+        let served = served_after(&p, &t, 2_000 * MS);
+        assert!(served >= 0.95, "{} balancers: {served}", p.site.balancers);
     }
 }
 
-/// All VMs of a large site lose power in the middle of a release, in which some
-/// target is always on its way out: 2 s after power is back callers notice nothing,
-/// and of those that met the outage few lose their requests. Before, lost flows were
-/// told to nobody while targets left, and half of these callers waited out their
-/// time limits.
+/// Guards against callers that time out because nobody reports flows as lost while
+/// targets are leaving: all VMs of a large site lose power during a release.
 #[test]
-fn fate_known_in_release() {
+fn lost_flows_are_reported_during_release() {
     let p = named("power_release_large");
     for seed in 1..=2 {
         let t = run(&p, seed);
-        let back = t.served_ratio_between(7_500 * MS, 8_000 * MS);
-        assert!(back >= 0.95, "seed {seed}: {back}");
-        let met = t.requests_between(4_000 * MS, 7_500 * MS);
-        assert!(t.lost * 10 <= met, "seed {seed}: {} of {met} lost", t.lost);
+        let served = t.served_ratio_between(7_500 * MS, 8_000 * MS);
+        assert!(served >= 0.95, "seed {seed}: {served}");
+        let affected = t.requests_between(4_000 * MS, 7_500 * MS);
+        assert!(t.lost * 10 <= affected, "seed {seed}: {} of {affected} lost", t.lost);
     }
 }
