--- a/src/experiment/report.rs
+++ b/src/experiment/report.rs
@@ -90,8 +90,8 @@
     let mut page = String::from(
         "<!doctype html><meta charset=\"utf-8\"><title>jujubepost experiment</title>\
          <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}</style>\
-         <h1>Part of the requests served in time</h1>\
-         <p>Bars: median over seeds. Lines: least to most.</p>",
+         <h1>Share of requests served in time</h1>\
+         <p>Bars: median over seeds. Lines: minimum to maximum.</p>",
     );
     for p in patterns {
         let variants: Vec<&Summary> = rows.iter().filter(|r| r.pattern == p.name).collect();
--- a/src/model/caller.rs
+++ b/src/model/caller.rs
@@ -99,7 +99,7 @@
         Segment { src: caller, dst: service, flags, seq, ack: self.next, len: 0 }
     }
 
-    /// Takes the target's initial sequence number from its SYN-ACK.
+    /// Records the target's initial sequence number from its SYN-ACK.
     pub const fn receive_syn_ack(&mut self, seq: u32) {
         self.next = seq.wrapping_add(1);
     }
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -281,7 +281,8 @@
     Segment { src: flow.vip, dst: flow.caller, flags, seq, ack, len: 0 }
 }
 
-/// Timer of a target, with what it takes to tell whether it is still valid.
+/// Timer of a target, for an execution or a retransmission. It is void if the target
+/// has restarted and, for a retransmission, if another response has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timer {
     /// Flow of the response.
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -227,15 +227,15 @@
             report.duplicates += u32::from(!self.executed.insert(id.to_string()));
         }
         let Some(open) = self.flows.get_mut(&flow) else { return };
-        let answer = format!("done {id} by {}", self.name);
-        let len = u16::try_from(answer.len()).unwrap_or(u16::MAX);
+        let response = format!("done {id} by {}", self.name);
+        let len = u16::try_from(response.len()).unwrap_or(u16::MAX);
         let fin = self.state.draining.get();
         let flags = Flags { ack: true, fin, ..Flags::default() };
         let seq = open.seq.wrapping_add(1);
         let seg =
             Segment { src: flow.vip, dst: flow.caller, flags, seq, ack: open.expected_seq, len };
         open.seq = open.seq.wrapping_add(u32::from(len));
-        let bytes = packet::encode(&seg, answer.as_bytes());
+        let bytes = packet::encode(&seg, response.as_bytes());
         open.last_response = Some(bytes.clone());
         let _ = self.sock.send_to(&bytes, self.outbound).await;
     }
