--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -34,7 +34,7 @@
     pub up: bool,
     /// Incremented when the process stops, so that events scheduled for an
     /// earlier run of it can be recognised.
-    pub epoch: u64,
+    pub incarnation: u64,
     /// Receive buffer for packets.
     packets: VecDeque<Vec<u8>>,
     /// Receive buffer for messages.
@@ -58,7 +58,7 @@
         Self {
             cpu_share,
             up: true,
-            epoch: 1,
+            incarnation: 1,
             packets: VecDeque::new(),
             messages: VecDeque::new(),
             next_wake: None,
@@ -71,7 +71,7 @@
     /// Ends the process and discards its unread input.
     pub fn stop(&mut self) {
         self.up = false;
-        self.epoch += 1;
+        self.incarnation += 1;
         self.next_wake = None;
         self.packets.clear();
         self.messages.clear();
--- a/src/model/lifecycle.rs
+++ b/src/model/lifecycle.rs
@@ -32,12 +32,12 @@
 impl Simulation {
     pub(super) fn handle_lifecycle(&mut self, event: Event) {
         match event {
-            Event::TargetReport(n, epoch) => self.report_target(n, epoch),
+            Event::TargetReport(n, incarnation) => self.report_target(n, incarnation),
             Event::ReadinessProbe => self.probe_readiness(),
-            Event::ReadStore(n, epoch) => self.read_store_or_retry(n, epoch),
-            Event::StopBalancer(n, epoch) => self.stop_balancer(n, epoch),
+            Event::ReadStore(n, incarnation) => self.read_store_or_retry(n, incarnation),
+            Event::StopBalancer(n, incarnation) => self.stop_balancer(n, incarnation),
             Event::StopAgent(n) => self.stop_agent(n),
-            Event::EndAgent(n, epoch) => self.end_agent(n, epoch),
+            Event::EndAgent(n, incarnation) => self.end_agent(n, incarnation),
             Event::RetireTarget(n) => self.retire_target(n),
             Event::RemoveAgent(n) => self.agents[n].host.stop(),
             Event::StartBalancer(n) => self.start_balancer(n),
@@ -50,29 +50,31 @@
     }
 
     /// Handles a target's report; it is repeated sooner while the agent is down.
-    fn report_target(&mut self, n: usize, epoch: u64) {
+    fn report_target(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
-        if !a.target.up || a.target.epoch != epoch {
+        if !a.target.up || a.target.incarnation != incarnation {
             return;
         }
         a.target.reports += 1;
         let (service, seq) = (a.service, a.target.reports);
         let delay = if a.host.up { REPORT_INTERVAL } else { REPORT_RETRY };
         if a.host.up {
-            let cold = self.agents[n].target.warm_at.saturating_duration_since(self.now);
-            let report = Report { warmup: cold, ..self.target_report(service, epoch, seq) };
-            self.agents[n].holder.handle_report(report, self.now);
-            if std::mem::replace(&mut self.agents[n].registered_epoch, epoch) != epoch {
+            let warmup = self.agents[n].target.warm_at.saturating_duration_since(self.now);
+            let report = Report { warmup, ..self.target_report(service, incarnation, seq) };
+            self.agents[n].tracker.handle_report(report, self.now);
+            if std::mem::replace(&mut self.agents[n].registered_incarnation, incarnation)
+                != incarnation
+            {
                 self.notify_store_change();
             }
             self.wake_agent(n, self.now);
         }
-        self.events.push(self.now + delay, Event::TargetReport(n, epoch));
+        self.events.push(self.now + delay, Event::TargetReport(n, incarnation));
     }
 
     fn probe_readiness(&mut self) {
         for b in &mut self.balancers {
-            if b.host.up && b.steer.is_ready() {
+            if b.host.up && b.steering.is_ready() {
                 b.missed_probes = 0;
                 b.in_rotation = true;
             } else {
@@ -84,24 +86,24 @@
     }
 
     /// A balancer reads the store, or tries again later while that is down.
-    fn read_store_or_retry(&mut self, n: usize, epoch: u64) {
-        if self.balancers[n].host.epoch != epoch {
+    fn read_store_or_retry(&mut self, n: usize, incarnation: u64) {
+        if self.balancers[n].host.incarnation != incarnation {
             return;
         }
         if self.store_up {
             self.read_store(n);
         } else {
-            self.events.push(self.now + STORE_DELAY, Event::ReadStore(n, epoch));
+            self.events.push(self.now + STORE_DELAY, Event::ReadStore(n, incarnation));
         }
     }
 
     fn start_balancer(&mut self, n: usize) {
         let zone = self.balancers[n].zone;
-        self.balancers[n].steer = self.new_steer(n, zone);
+        self.balancers[n].steering = self.new_steering(n, zone);
         let host = &mut self.balancers[n].host;
         host.start(self.now);
-        let epoch = host.epoch;
-        self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, epoch));
+        let incarnation = host.incarnation;
+        self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, incarnation));
     }
 
     fn start_agent(&mut self, n: usize) {
@@ -111,11 +113,12 @@
         let service = self.agents[n].service;
         // The store entry names the target process that the previous agent process
         // served.
-        let registered = self.target_report(service, self.agents[n].registered_epoch, 1).incarnation;
-        let mut holder = self.new_holder(service);
-        holder.set_predecessor(Some(registered), self.now);
+        let registered =
+            self.target_report(service, self.agents[n].registered_incarnation, 1).incarnation;
+        let mut tracker = self.new_tracker(service);
+        tracker.set_predecessor(Some(registered), self.now);
         let a = &mut self.agents[n];
-        a.holder = holder;
+        a.tracker = tracker;
         a.probing = false;
         a.host.start(self.now);
         self.wake_agent(n, self.now);
@@ -127,8 +130,8 @@
         }
         let target = &mut self.agents[n].target;
         target.start(self.now);
-        let epoch = target.epoch;
-        self.events.push(self.now + REPORT_RETRY, Event::TargetReport(n, epoch));
+        let incarnation = target.incarnation;
+        self.events.push(self.now + REPORT_RETRY, Event::TargetReport(n, incarnation));
     }
 
     /// Number of processes that a share of `all` processes comes to; at least one.
@@ -156,8 +159,8 @@
                 for n in 0..self.balancers.len() {
                     // Sites have far fewer than `u32::MAX` processes.
                     let at = self.now + gap * n as u32;
-                    let epoch = self.balancers[n].host.epoch;
-                    self.events.push(at, Event::StopBalancer(n, epoch));
+                    let incarnation = self.balancers[n].host.incarnation;
+                    self.events.push(at, Event::StopBalancer(n, incarnation));
                 }
             }
             Change::JoinBalancers => {
@@ -211,7 +214,7 @@
     fn set_store_up(&mut self, up: bool, now: Instant) {
         self.store_up = up;
         for b in &mut self.balancers {
-            b.steer.set_store_reachable(up, now);
+            b.steering.set_store_reachable(up, now);
         }
     }
 
@@ -234,14 +237,14 @@
 
     /// Planned stop of a balancer: the first event makes it not ready, the second,
     /// [`LINGER_TIME`] later, ends the process.
-    fn stop_balancer(&mut self, n: usize, epoch: u64) {
+    fn stop_balancer(&mut self, n: usize, incarnation: u64) {
         let b = &mut self.balancers[n];
-        if b.host.epoch != epoch {
+        if b.host.incarnation != incarnation {
             return;
         }
-        if b.steer.is_ready() {
-            b.steer.begin_shutdown();
-            self.events.push(self.now + LINGER_TIME, Event::StopBalancer(n, epoch));
+        if b.steering.is_ready() {
+            b.steering.begin_shutdown();
+            self.events.push(self.now + LINGER_TIME, Event::StopBalancer(n, incarnation));
         } else {
             b.host.stop();
             self.events.push(self.now + RESTART_DELAY, Event::StartBalancer(n));
@@ -254,18 +257,18 @@
         if !a.host.up {
             return;
         }
-        a.holder.stop_accepting();
-        let epoch = a.host.epoch;
-        self.events.push(self.now + STOP_TIME, Event::EndAgent(n, epoch));
+        a.tracker.stop_accepting();
+        let incarnation = a.host.incarnation;
+        self.events.push(self.now + STOP_TIME, Event::EndAgent(n, incarnation));
     }
 
-    fn end_agent(&mut self, n: usize, epoch: u64) {
+    fn end_agent(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
-        if a.host.epoch != epoch {
+        if a.host.incarnation != incarnation {
             return;
         }
         let mut out = Outbox::default();
-        a.holder.send_owner_hints(agent_addr(n), &mut out);
+        a.tracker.send_owner_hints(agent_addr(n), &mut out);
         self.flush_agent(n, out, self.now);
         self.agents[n].host.stop();
         self.events.push(self.now + RESTART_DELAY, Event::StartAgent(n));
@@ -278,7 +281,7 @@
         let a = &mut self.agents[n];
         a.removed = true;
         a.target.crash();
-        a.holder.mark_target_ended(&mut out);
+        a.tracker.mark_target_ended(&mut out);
         self.flush_agent(n, out, self.now);
         self.events.push(self.now + RETIRE_LINGER, Event::RemoveAgent(n));
         self.notify_store_change();
@@ -288,8 +291,8 @@
     /// changed.
     fn notify_store_change(&mut self) {
         for b in 0..self.balancers.len() {
-            let epoch = self.balancers[b].host.epoch;
-            self.events.push(self.now + STORE_DELAY, Event::ReadStore(b, epoch));
+            let incarnation = self.balancers[b].host.incarnation;
+            self.events.push(self.now + STORE_DELAY, Event::ReadStore(b, incarnation));
         }
     }
 }
--- a/src/model/network.rs
+++ b/src/model/network.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    fn count_message(&mut self, carries_packet: bool, bytes: usize) {
-        if !carries_packet {
+    fn count_message(&mut self, is_forward: bool, bytes: usize) {
+        if !is_forward {
             self.stats.messages += 1;
             self.stats.message_bytes += bytes as u64;
         }
@@ -57,8 +57,8 @@
     fn send_from_balancer(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.balancers[n].zone;
         match outgoing {
-            Outgoing::Peer { to, bytes, carries_packet } => {
-                self.count_message(carries_packet, bytes.len());
+            Outgoing::Peer { to, bytes, is_forward } => {
+                self.count_message(is_forward, bytes.len());
                 let link = &mut self.balancers[n].host.egress;
                 if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
                     let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
@@ -78,8 +78,8 @@
     fn send_from_agent(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.agents[n].zone;
         match outgoing {
-            Outgoing::Peer { to, bytes, carries_packet } => {
-                self.count_message(carries_packet, bytes.len());
+            Outgoing::Peer { to, bytes, is_forward } => {
+                self.count_message(is_forward, bytes.len());
                 let link = &mut self.agents[n].host.egress;
                 if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
                     let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
--- a/src/model/outbox.rs
+++ b/src/model/outbox.rs
@@ -17,8 +17,8 @@
         to: SocketAddrV4,
         /// The encoded message, followed by the packet it carries, if any.
         bytes: Vec<u8>,
-        /// Whether it forwards a packet to the agent that holds the flow.
-        carries_packet: bool,
+        /// Whether it forwards a packet to the agent that owns its flow.
+        is_forward: bool,
     },
     /// A packet to the target.
     Target(Vec<u8>),
@@ -35,9 +35,9 @@
 impl Outbox {
     fn push_message(&mut self, to: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         let mut bytes = Vec::new();
-        let carries_packet = message.is_forward_to_owner();
+        let is_forward = message.is_forward_to_owner();
         match protocol::encode(message, packet, &mut bytes) {
-            Ok(()) => self.0.push(Outgoing::Peer { to, bytes, carries_packet }),
+            Ok(()) => self.0.push(Outgoing::Peer { to, bytes, is_forward }),
             Err(e) => log::error!(to:% = to, error:% = e; "message could not be encoded; dropped"),
         }
     }
--- a/src/model/setup.rs
+++ b/src/model/setup.rs
@@ -53,17 +53,17 @@
                 let zone = (i % u16::from(site.zones)) as u8;
                 let mut agent = Agent {
                     host: Host::new(site.agent_cpu, AGENT_MBPS, self.now),
-                    holder: self.new_holder(service),
+                    tracker: self.new_tracker(service),
                     service,
                     zone,
                     target: Target::new(s.slots, s.queue_limit, self.rng.random(), self.now),
-                    registered_epoch: 1,
+                    registered_incarnation: 1,
                     probing: false,
                     removed: false,
                 };
                 agent.target.reports = 1;
                 let report = self.target_report(service, 1, 1);
-                agent.holder.handle_report(report, self.now);
+                agent.tracker.handle_report(report, self.now);
                 self.agents.push(agent);
                 let n = self.agents.len() - 1;
                 let first = REPORT_INTERVAL.mul_f64(self.rng.random());
@@ -104,27 +104,33 @@
     pub(super) fn add_balancer(&mut self, zone: u8) -> usize {
         let n = self.balancers.len();
         let host = Host::new(self.site.balancer_cpu, self.site.link_mbps, self.now);
-        let steer = self.new_steer(n, zone);
-        self.balancers.push(Balancer { host, steer, zone, in_rotation: false, missed_probes: 0 });
+        let steering = self.new_steering(n, zone);
+        self.balancers.push(Balancer {
+            host,
+            steering,
+            zone,
+            in_rotation: false,
+            missed_probes: 0,
+        });
         n
     }
 
-    pub(super) fn new_steer(&self, n: usize, zone: u8) -> FlowSteering {
+    pub(super) fn new_steering(&self, n: usize, zone: u8) -> FlowSteering {
         let policy =
             self.policy.balancer.clone().scaled_to_vm(self.site.link_mbps, self.site.balancer_cpu);
         FlowSteering::new(balancer_addr(n), zone_name(zone), Duration::from_secs(60))
             .with_policy(policy)
     }
 
-    pub(super) fn new_holder(&self, service: usize) -> FlowTracker {
+    pub(super) fn new_tracker(&self, service: usize) -> FlowTracker {
         let name = self.site.services[service].name.into();
         FlowTracker::new(name, Duration::from_secs(60)).with_policy(self.policy.agent.clone())
     }
 
-    pub(super) fn target_report(&self, service: usize, epoch: u64, seq: u64) -> Report {
+    pub(super) fn target_report(&self, service: usize, incarnation: u64, seq: u64) -> Report {
         let s = &self.site.services[service];
         Report {
-            incarnation: Incarnation { id: "target".into(), started_ms: Some(epoch * 1_000) },
+            incarnation: Incarnation { id: "target".into(), started_ms: Some(incarnation * 1_000) },
             service: s.name.into(),
             slots: s.slots,
             state: TargetState::Ready,
@@ -155,14 +161,16 @@
                 addr: agent_addr(i),
                 zone: zone_name(a.zone),
                 service: self.site.services[a.service].name.into(),
-                target: Some(self.target_report(a.service, a.registered_epoch, 1).incarnation),
+                target: Some(
+                    self.target_report(a.service, a.registered_incarnation, 1).incarnation,
+                ),
             })
             .collect();
         let routes = self.routes();
-        let steer = &mut self.balancers[n].steer;
-        steer.apply_routes(routes);
-        steer.roster.update(&listed, self.now);
-        steer.set_store_reachable(true, self.now);
+        let steering = &mut self.balancers[n].steering;
+        steering.apply_routes(routes);
+        steering.roster.update(&listed, self.now);
+        steering.set_store_reachable(true, self.now);
         self.wake_balancer(n, self.now);
     }
 }
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -51,7 +51,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
 /// A simulation event. A `usize` is the index of a balancer, or of an agent and
-/// its target; a `u64` is the epoch of the process for which the event was
+/// its target; a `u64` is the incarnation of the process for which the event was
 /// scheduled.
 #[derive(Debug)]
 pub(super) enum Event {
@@ -127,7 +127,7 @@
 /// A balancer and its VM.
 pub(super) struct Balancer {
     pub(super) host: Host,
-    pub(super) steer: FlowSteering,
+    pub(super) steering: FlowSteering,
     pub(super) zone: u8,
     /// Whether routers send it packets.
     pub(super) in_rotation: bool,
@@ -138,12 +138,12 @@
 /// An agent, its VM and its target.
 pub(super) struct Agent {
     pub(super) host: Host,
-    pub(super) holder: FlowTracker,
+    pub(super) tracker: FlowTracker,
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
     /// Epoch of the target that the agent's store entry names.
-    pub(super) registered_epoch: u64,
+    pub(super) registered_incarnation: u64,
     /// A probe of the target's port is in progress.
     pub(super) probing: bool,
     /// The target was retired and the VM is being removed.
@@ -260,7 +260,7 @@
             Event::ToCaller(packet) => self.deliver_to_caller(&packet),
             Event::WakeBalancer(n) => self.run_balancer(n),
             Event::WakeAgent(n) => self.run_agent(n),
-            Event::PortProbed(n, epoch) => self.finish_port_probe(n, epoch),
+            Event::PortProbed(n, incarnation) => self.finish_port_probe(n, incarnation),
             Event::RequestDone(n, timer) => self.finish_execution(n, timer),
             Event::Retransmit(n, timer) => self.retransmit_response(n, timer),
             Event::CallerStep(addr, generation, step) => {
@@ -293,19 +293,19 @@
         let mut out = Outbox::default();
         for (from, bytes) in &messages {
             if let Ok((message, _)) = protocol::decode(bytes) {
-                b.steer.handle_message(*from, &message, self.now, &mut out);
+                b.steering.handle_message(*from, &message, self.now, &mut out);
             }
         }
         for bytes in &packets {
             if let Ok(seg) = packet::decode(bytes) {
-                b.steer.handle_packet(&seg, bytes, self.now, &mut out);
+                b.steering.handle_packet(&seg, bytes, self.now, &mut out);
             }
         }
         if b.host.messages_drained() {
-            b.steer.tick(self.now, &mut out);
+            b.steering.tick(self.now, &mut out);
         }
         let done = b.host.spend_cpu(packets.len() + messages.len() + out.0.len(), self.now);
-        let due = if b.host.has_input() { Some(done) } else { b.steer.next_deadline(done) };
+        let due = if b.host.has_input() { Some(done) } else { b.steering.next_deadline(done) };
         self.flush_balancer(n, out, done);
         if let Some(at) = due {
             self.wake_balancer(n, at.max(done));
@@ -318,30 +318,30 @@
             return;
         }
         a.host.next_wake = None;
-        if !a.probing && a.holder.should_probe(self.now) {
+        if !a.probing && a.tracker.should_probe(self.now) {
             a.probing = true;
             let at = self.now + Duration::from_millis(1);
-            self.events.push(at, Event::PortProbed(n, a.host.epoch));
+            self.events.push(at, Event::PortProbed(n, a.host.incarnation));
         }
         let InputBatch { mut packets, messages } = a.host.read_batch();
         let mut out = Outbox::default();
         for (from, bytes) in &messages {
             let Ok((message, rest)) = protocol::decode(bytes) else { continue };
             let seg = packet::decode(rest).ok();
-            a.holder.handle_message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
+            a.tracker.handle_message(*from, &message, seg.as_ref(), rest, self.now, &mut out);
         }
         for bytes in &mut packets {
             if let Ok(seg) = packet::decode(bytes) {
                 let clear = packet::clear_bounced;
-                a.holder.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
+                a.tracker.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
             }
         }
-        a.holder.tick(self.now, &mut out);
+        a.tracker.tick(self.now, &mut out);
         let done = a.host.spend_cpu(packets.len() + messages.len() + out.0.len(), self.now);
         let due = if a.host.has_input() {
             Some(done)
         } else {
-            a.holder.next_due().filter(|_| !a.probing)
+            a.tracker.next_due().filter(|_| !a.probing)
         };
         self.flush_agent(n, out, done);
         if let Some(at) = due {
@@ -350,17 +350,17 @@
     }
 
     /// Tells an agent the result of its probe: target up but slow, or crashed.
-    fn finish_port_probe(&mut self, n: usize, epoch: u64) {
+    fn finish_port_probe(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
-        if a.host.epoch != epoch {
+        if a.host.incarnation != incarnation {
             return;
         }
         a.probing = false;
         let mut out = Outbox::default();
         if a.target.up {
-            a.holder.defer_probe(self.now);
+            a.tracker.defer_probe(self.now);
         } else {
-            a.holder.mark_target_ended(&mut out);
+            a.tracker.mark_target_ended(&mut out);
         }
         self.flush_agent(n, out, self.now);
         self.wake_agent(n, self.now);
--- a/src/model/stats.rs
+++ b/src/model/stats.rs
@@ -89,7 +89,7 @@
     /// Flows that callers opened or tried to open.
     pub flows: u32,
     /// Messages between balancers and agents, except those that forward a packet
-    /// to the agent that holds its flow.
+    /// to the agent that owns its flow.
     pub messages: u64,
     /// Bytes of these messages.
     pub message_bytes: u64,
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -60,7 +60,7 @@
     /// Whether the process runs.
     pub up: bool,
     /// Number of starts, so that events of an earlier run can be recognised.
-    pub epoch: u64,
+    pub incarnation: u64,
     /// Reports sent since the last start.
     pub reports: u64,
     /// Factor on execution times; 1 is normal speed.
@@ -85,7 +85,7 @@
     pub fn new(slots: u32, queue_limit: usize, isn: u32, now: Instant) -> Self {
         Self {
             up: true,
-            epoch: 1,
+            incarnation: 1,
             reports: 0,
             slowdown: 1.0,
             warm_at: now,
@@ -110,7 +110,7 @@
     pub fn start(&mut self, now: Instant) {
         self.up = true;
         self.warm_at = now + WARM_UP;
-        self.epoch += 1;
+        self.incarnation += 1;
         self.reports = 0;
     }
 
@@ -287,8 +287,8 @@
 pub struct Timer {
     /// Flow of the response.
     pub flow: Flow,
-    /// [`Target::epoch`] when it was set.
-    pub epoch: u64,
+    /// [`Target::incarnation`] when it was set.
+    pub incarnation: u64,
     /// [`TargetFlow::responses`] when it was set.
     pub response: u32,
     /// When it was set.
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -94,13 +94,13 @@
         let a = &self.agents[n];
         let took = a.target.service_time(class.service_time, factor, self.now);
         let response = a.target.flows.get(&flow).map_or(0, |s| s.responses);
-        let timer = Timer { flow, epoch: a.target.epoch, response, set_at: self.now };
+        let timer = Timer { flow, incarnation: a.target.incarnation, response, set_at: self.now };
         self.events.push(self.now + took, Event::RequestDone(n, timer));
     }
 
     pub(super) fn finish_execution(&mut self, n: usize, timer: Timer) {
         let target = &mut self.agents[n].target;
-        if !target.up || target.epoch != timer.epoch {
+        if !target.up || target.incarnation != timer.incarnation {
             return;
         }
         let next = target.release_slot();
@@ -120,12 +120,12 @@
     /// Sends the packets of a response that the send window allows.
     fn send_response_packets(&mut self, n: usize, flow: Flow) {
         let a = &mut self.agents[n];
-        let epoch = a.target.epoch;
+        let incarnation = a.target.incarnation;
         let Some(s) = a.target.flows.get_mut(&flow) else { return };
         let mut out = Vec::new();
         s.ready_packets(flow, &mut out);
         let Some(sender) = s.sender.filter(|s| !s.all_acked()) else { return };
-        let timer = Timer { flow, epoch, response: s.responses, set_at: self.now };
+        let timer = Timer { flow, incarnation, response: s.responses, set_at: self.now };
         self.events.push(self.now + sender.rto(), Event::Retransmit(n, timer));
         self.send_target_packets(n, out);
     }
@@ -139,7 +139,7 @@
 
     pub(super) fn retransmit_response(&mut self, n: usize, timer: Timer) {
         let target = &mut self.agents[n].target;
-        if !target.up || target.epoch != timer.epoch {
+        if !target.up || target.incarnation != timer.incarnation {
             return;
         }
         let Some(s) = target.flows.get_mut(&timer.flow).filter(|s| s.responses == timer.response)
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -152,26 +152,27 @@
             bail!("trial: invalid process label `{label}`");
         };
         let p = self.ports;
-        let seeds: Vec<_> =
-            (0..ZONES.len() as u8).map(|z| format!("{}:{}", balancer_ip(z, 0), p.bus())).collect();
+        let seeds: Vec<_> = (0..ZONES.len() as u8)
+            .map(|z| format!("{}:{}", balancer_ip(z, 0), p.messages()))
+            .collect();
         let store = SocketAddrV4::new(Ipv4Addr::LOCALHOST, p.store());
         let mut settings = json!({
-            "name": label, "ports": [p.bus(), p.bus() + 4], "store": store, "seeds": seeds,
+            "name": label, "ports": [p.messages(), p.messages() + 4], "store": store, "seeds": seeds,
             "metrics": p.metrics(), "relay_kib": self.plan.relay_kib,
         });
-        let at = |ip: Ipv4Addr, port| json!(SocketAddrV4::new(ip, port));
+        let endpoint = |ip: Ipv4Addr, port| json!(SocketAddrV4::new(ip, port));
         let ip = if role == "entry" { balancer_ip(group, n) } else { target_ip(group, n) };
         settings["ip"] = json!(ip);
-        settings["packets"] = at(ip, p.packets());
-        settings["ready"] = at(ip, p.ready());
+        settings["packets"] = endpoint(ip, p.packets());
+        settings["ready"] = endpoint(ip, p.ready());
         if role == "entry" {
             settings["zone"] = json!(ZONES[usize::from(group)]);
         } else {
             settings["zone"] = json!(ZONES[usize::from(n) % ZONES.len()]);
             settings["service"] = json!(SERVICES[usize::from(group)].0);
-            settings["outbound"] = at(ip, p.outbound());
-            settings["reports"] = at(ip, p.reports());
-            settings["target"] = at(ip, p.app());
+            settings["outbound"] = endpoint(ip, p.outbound());
+            settings["reports"] = endpoint(ip, p.reports());
+            settings["target"] = endpoint(ip, p.app());
         }
         let path = self.write_settings(label, &settings)?;
         let log = self.dir.join(format!("{label}.log"));
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -104,7 +104,7 @@
         self.base + 6
     }
     /// Messages between balancers and agents.
-    pub const fn bus(self) -> u16 {
+    pub const fn messages(self) -> u16 {
         self.base + 10
     }
 }
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -27,7 +27,7 @@
 
 /// State shared by a target's tasks.
 #[derive(Debug, Default)]
-struct TargetState {
+struct SharedState {
     draining: Cell<bool>,
     acknowledged: Cell<bool>,
 }
@@ -35,7 +35,7 @@
 /// Handle of a running target.
 pub struct Target {
     name: String,
-    state: Rc<TargetState>,
+    state: Rc<SharedState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -69,7 +69,7 @@
             .await
             .with_context(|| format!("trial: binding target {name} to TCP {app}"))?;
         report.borrow_mut().flows_by_target.insert(name.clone(), 0);
-        let state = Rc::new(TargetState::default());
+        let state = Rc::new(SharedState::default());
         let server = Server {
             name: name.clone(),
             service,
@@ -124,7 +124,7 @@
     service: &'static str,
     app: SocketAddrV4,
     reports: SocketAddrV4,
-    state: Rc<TargetState>,
+    state: Rc<SharedState>,
 ) {
     let client = ntex::client::Client::new().await;
     let mut drain_left = DRAIN_TIME;
@@ -158,7 +158,7 @@
     service: &'static str,
     outbound: SocketAddrV4,
     sock: UdpSocket,
-    state: Rc<TargetState>,
+    state: Rc<SharedState>,
     report: Rc<RefCell<Report>>,
     flows: HashMap<Flow, TargetFlow>,
     executed: HashSet<String>,
