--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -27,7 +27,11 @@
     for seed in 1..=3 {
         let t = run(&p, seed);
         for (n, class) in t.classes.iter().enumerate() {
-            assert!(class.utility() >= MIN_VALUE_SHARE, "seed {seed} class {n}: {}", class.utility());
+            assert!(
+                class.utility() >= MIN_VALUE_SHARE,
+                "seed {seed} class {n}: {}",
+                class.utility()
+            );
         }
     }
 }
