--- /dev/null
+++ b/src/model/lifecycle.rs
@@ -0,0 +1,298 @@
+//! Process starts and stops, readiness probes, target reports, store reads, and
+//! the changes that a pattern schedules.
+
+use std::time::{Duration, Instant};
+
+use rand::Rng;
+
+use super::outbox::Outbox;
+use super::pattern::Change;
+use super::simulation::{
+    BOOT_TIME, Event, PROBE_INTERVAL, REPORT_INTERVAL, REPORT_RETRY, STORE_DELAY, Simulation,
+    agent_addr,
+};
+use crate::tracker::Report;
+
+/// How long a balancer keeps forwarding after a planned stop begins.
+const LINGER_TIME: Duration = Duration::from_millis(1_500);
+
+/// How long an agent runs on after a planned stop begins, while its target
+/// completes requests.
+const STOP_TIME: Duration = Duration::from_millis(200);
+
+/// How long an agent keeps answering after its target has exited for good.
+const RETIRE_LINGER: Duration = Duration::from_millis(600);
+
+/// Delay between the exit of a process at a planned stop and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+
+/// After a power loss each process starts after a random delay up to this.
+const POWER_ON_JITTER: Duration = Duration::from_millis(300);
+
+impl Simulation {
+    pub(super) fn handle_lifecycle(&mut self, event: Event) {
+        match event {
+            Event::TargetReport(n, incarnation) => self.report_target(n, incarnation),
+            Event::ReadinessProbe => self.probe_readiness(),
+            Event::ReadStore(n, incarnation) => self.read_store_or_retry(n, incarnation),
+            Event::StopBalancer(n, incarnation) => self.stop_balancer(n, incarnation),
+            Event::StopAgent(n) => self.stop_agent(n),
+            Event::EndAgent(n, incarnation) => self.end_agent(n, incarnation),
+            Event::RetireTarget(n) => self.retire_target(n),
+            Event::RemoveAgent(n) => self.agents[n].host.stop(),
+            Event::StartBalancer(n) => self.start_balancer(n),
+            Event::StartAgent(n) => self.start_agent(n),
+            Event::StartTarget(n) => self.start_target(n),
+            Event::BeginChange(change) => self.begin_change(change),
+            Event::EndChange(change) => self.end_change(change),
+            _ => {}
+        }
+    }
+
+    /// Handles a target's report; it is repeated sooner while the agent is down.
+    fn report_target(&mut self, n: usize, incarnation: u64) {
+        let a = &mut self.agents[n];
+        if !a.target.up || a.target.incarnation != incarnation {
+            return;
+        }
+        a.target.reports += 1;
+        let (service, seq) = (a.service, a.target.reports);
+        let delay = if a.host.up { REPORT_INTERVAL } else { REPORT_RETRY };
+        if a.host.up {
+            let warmup = self.agents[n].target.warm_at.saturating_duration_since(self.now);
+            let report = Report { warmup, ..self.target_report(service, incarnation, seq) };
+            self.agents[n].tracker.handle_report(report, self.now);
+            if std::mem::replace(&mut self.agents[n].registered_incarnation, incarnation)
+                != incarnation
+            {
+                self.notify_store_change();
+            }
+            self.wake_agent(n, self.now);
+        }
+        self.events.push(self.now + delay, Event::TargetReport(n, incarnation));
+    }
+
+    fn probe_readiness(&mut self) {
+        for b in &mut self.balancers {
+            if b.host.up && b.steering.is_ready() {
+                b.missed_probes = 0;
+                b.in_rotation = true;
+            } else {
+                b.missed_probes = b.missed_probes.saturating_add(1);
+                b.in_rotation &= b.missed_probes < 2;
+            }
+        }
+        self.events.push(self.now + PROBE_INTERVAL, Event::ReadinessProbe);
+    }
+
+    /// A balancer reads the store, or tries again later while that is down.
+    fn read_store_or_retry(&mut self, n: usize, incarnation: u64) {
+        if self.balancers[n].host.incarnation != incarnation {
+            return;
+        }
+        if self.store_up {
+            self.read_store(n);
+        } else {
+            self.events.push(self.now + STORE_DELAY, Event::ReadStore(n, incarnation));
+        }
+    }
+
+    fn start_balancer(&mut self, n: usize) {
+        let zone = self.balancers[n].zone;
+        self.balancers[n].steering = self.new_steering(n, zone);
+        let host = &mut self.balancers[n].host;
+        host.start(self.now);
+        let incarnation = host.incarnation;
+        self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, incarnation));
+    }
+
+    fn start_agent(&mut self, n: usize) {
+        if self.agents[n].removed {
+            return;
+        }
+        let service = self.agents[n].service;
+        // The store entry names the target process that the previous agent process
+        // served.
+        let registered =
+            self.target_report(service, self.agents[n].registered_incarnation, 1).incarnation;
+        let mut tracker = self.new_tracker(service);
+        tracker.set_predecessor(Some(registered), self.now);
+        let a = &mut self.agents[n];
+        a.tracker = tracker;
+        a.probing = false;
+        a.host.start(self.now);
+        self.wake_agent(n, self.now);
+    }
+
+    fn start_target(&mut self, n: usize) {
+        if self.agents[n].removed {
+            return;
+        }
+        let target = &mut self.agents[n].target;
+        target.start(self.now);
+        let incarnation = target.incarnation;
+        self.events.push(self.now + REPORT_RETRY, Event::TargetReport(n, incarnation));
+    }
+
+    /// Number of processes that a share of `all` processes comes to; at least one.
+    fn count_of(share: f64, all: usize) -> usize {
+        ((share * all as f64).round() as usize).clamp(1, all)
+    }
+
+    fn begin_change(&mut self, change: Change) {
+        let ends = self.now + change.duration();
+        match change {
+            Change::PowerLoss(_) => self.lose_power(ends),
+            Change::KillBalancers(share, _) => {
+                for n in 0..Self::count_of(share, self.balancers.len()) {
+                    self.balancers[n].host.stop();
+                    self.events.push(ends, Event::StartBalancer(n));
+                }
+            }
+            Change::KillAgents(share, _) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
+                    self.agents[n].host.stop();
+                    self.events.push(ends, Event::StartAgent(n));
+                }
+            }
+            Change::RestartBalancers(gap) => {
+                for n in 0..self.balancers.len() {
+                    // Sites have far fewer than `u32::MAX` processes.
+                    let at = self.now + gap * n as u32;
+                    let incarnation = self.balancers[n].host.incarnation;
+                    self.events.push(at, Event::StopBalancer(n, incarnation));
+                }
+            }
+            Change::JoinBalancers => {
+                for zone in 0..self.site.zones {
+                    let n = self.add_balancer(zone);
+                    self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, 1));
+                }
+            }
+            Change::RestartAgents(gap) => {
+                for n in 0..self.agents.len() {
+                    self.events.push(self.now + gap * n as u32, Event::StopAgent(n));
+                }
+            }
+            Change::RetireTargets(share, gap) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
+                    self.events.push(self.now + gap * n as u32, Event::RetireTarget(n));
+                }
+            }
+            Change::CrashTargets(share, _) => {
+                for n in 0..Self::count_of(share, self.agents.len()) {
+                    self.agents[n].target.crash();
+                    self.events.push(ends, Event::StartTarget(n));
+                }
+            }
+            Change::SlowTargets(share, factor, _) => self.set_slowdown(share, factor),
+            Change::StoreOutage(_) => self.set_store_up(false, self.now),
+            Change::LoadBurst(factor, _) => self.load_factor = factor,
+            Change::PacketLoss(rate, _) => self.loss_rate = rate,
+        }
+        if change.duration() > Duration::ZERO {
+            self.events.push(ends, Event::EndChange(change));
+        }
+    }
+
+    fn end_change(&mut self, change: Change) {
+        match change {
+            Change::SlowTargets(share, _, _) => self.set_slowdown(share, 1.0),
+            Change::StoreOutage(_) => self.set_store_up(true, self.now),
+            Change::LoadBurst(..) => self.load_factor = 1.0,
+            Change::PacketLoss(..) => self.loss_rate = 0.0,
+            _ => {}
+        }
+    }
+
+    fn set_slowdown(&mut self, share: f64, factor: f64) {
+        for n in 0..Self::count_of(share, self.agents.len()) {
+            self.agents[n].target.slowdown = factor;
+        }
+    }
+
+    fn set_store_up(&mut self, up: bool, now: Instant) {
+        self.store_up = up;
+        for b in &mut self.balancers {
+            b.steering.set_store_reachable(up, now);
+        }
+    }
+
+    /// All processes exit and restart shortly after `back`.
+    fn lose_power(&mut self, back: Instant) {
+        for n in 0..self.balancers.len() {
+            self.balancers[n].host.stop();
+            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            self.events.push(at, Event::StartBalancer(n));
+        }
+        for n in 0..self.agents.len() {
+            self.agents[n].host.stop();
+            self.agents[n].target.crash();
+            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            self.events.push(at, Event::StartTarget(n));
+            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            self.events.push(at, Event::StartAgent(n));
+        }
+    }
+
+    /// Planned stop of a balancer: the first event makes it not ready, the second,
+    /// [`LINGER_TIME`] later, ends the process.
+    fn stop_balancer(&mut self, n: usize, incarnation: u64) {
+        let b = &mut self.balancers[n];
+        if b.host.incarnation != incarnation {
+            return;
+        }
+        if b.steering.is_ready() {
+            b.steering.begin_shutdown();
+            self.events.push(self.now + LINGER_TIME, Event::StopBalancer(n, incarnation));
+        } else {
+            b.host.stop();
+            self.events.push(self.now + RESTART_DELAY, Event::StartBalancer(n));
+        }
+    }
+
+    /// Begins a planned stop of an agent.
+    fn stop_agent(&mut self, n: usize) {
+        let a = &mut self.agents[n];
+        if !a.host.up {
+            return;
+        }
+        a.tracker.stop_accepting();
+        let incarnation = a.host.incarnation;
+        self.events.push(self.now + STOP_TIME, Event::EndAgent(n, incarnation));
+    }
+
+    fn end_agent(&mut self, n: usize, incarnation: u64) {
+        let a = &mut self.agents[n];
+        if a.host.incarnation != incarnation {
+            return;
+        }
+        let mut out = Outbox::default();
+        a.tracker.send_owner_hints(agent_addr(n), &mut out);
+        self.flush_agent(n, out, self.now);
+        self.agents[n].host.stop();
+        self.events.push(self.now + RESTART_DELAY, Event::StartAgent(n));
+    }
+
+    /// A target exits for good: its agent removes its store entry and stays until
+    /// balancers have read the change.
+    fn retire_target(&mut self, n: usize) {
+        let mut out = Outbox::default();
+        let a = &mut self.agents[n];
+        a.removed = true;
+        a.target.crash();
+        a.tracker.mark_target_ended(&mut out);
+        self.flush_agent(n, out, self.now);
+        self.events.push(self.now + RETIRE_LINGER, Event::RemoveAgent(n));
+        self.notify_store_change();
+    }
+
+    /// Schedules a read of the store by every balancer, after an agent's entry has
+    /// changed.
+    fn notify_store_change(&mut self) {
+        for b in 0..self.balancers.len() {
+            let incarnation = self.balancers[b].host.incarnation;
+            self.events.push(self.now + STORE_DELAY, Event::ReadStore(b, incarnation));
+        }
+    }
+}
--- a/src/model/build.rs
+++ b/src/model/setup.rs
@@ -1,5 +1,5 @@
-//! A run's beginning: VMs, targets and callers of a site, and what a process
-//! knows when it starts.
+//! Initial state of a run: the VMs, targets and callers of a site, and what a
+//! process reads from the store when it starts.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -7,23 +7,23 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use super::event_queue::EventQueue;
 use super::host::Host;
-use super::queue::EventQueue;
-use super::site::{Behavior, Class, Site};
+use super::simulation::{
+    AGENT_MBPS, Agent, Balancer, Event, PROBE_INTERVAL, REPORT_INTERVAL, Simulation, Step,
+    agent_addr, balancer_addr, vip, zone_name,
+};
+use super::site::{RequestClass, Site, Workload};
 use super::stats::Stats;
 use super::target::Target;
-use super::world::{
-    AGENT_MBPS, Agent, Balancer, Event, PROBE, REPORT, Step, World, agent_addr, balancer_addr, vip,
-    zone_name,
-};
 use crate::policy::Policy;
 use crate::steering::{FlowSteering, ListedAgent, Route, Routes, WeightedService};
 use crate::tracker::{FlowTracker, Incarnation, Report, TargetState};
 
-impl World {
+impl Simulation {
     pub(super) fn new(site: &Site, policy: &Policy, seed: u64) -> Self {
         let now = Instant::now();
-        let mut world = Self {
+        let mut sim = Self {
             site: site.clone(),
             policy: policy.clone(),
             now,
@@ -33,41 +33,41 @@
             balancers: Vec::new(),
             agents: Vec::new(),
             callers: BTreeMap::new(),
-            next_port: 0,
+            callers_created: 0,
             misrouted: HashMap::new(),
-            runs: HashMap::new(),
-            loss: 0.0,
-            burst: 1.0,
-            store: true,
+            executions: HashMap::new(),
+            loss_rate: 0.0,
+            load_factor: 1.0,
+            store_up: true,
             stats: Stats::default(),
         };
-        world.build();
-        world
+        sim.populate();
+        sim
     }
 
-    fn build(&mut self) {
+    fn populate(&mut self) {
         let site = self.site.clone();
         for (service, s) in site.services.iter().enumerate() {
             for i in 0..s.targets {
-                // Below the number of data centres.
+                // Less than the number of data centres.
                 let zone = (i % u16::from(site.zones)) as u8;
                 let mut agent = Agent {
                     host: Host::new(site.agent_cpu, AGENT_MBPS, self.now),
                     tracker: self.new_tracker(service),
                     service,
                     zone,
-                    target: Target::new(s.slots, s.queue, self.rng.random(), self.now),
-                    listed: 1,
+                    target: Target::new(s.slots, s.queue_limit, self.rng.random(), self.now),
+                    registered_incarnation: 1,
                     probing: false,
-                    left: false,
+                    removed: false,
                 };
                 agent.target.reports = 1;
-                let report = self.report(service, 1, 1);
+                let report = self.target_report(service, 1, 1);
                 agent.tracker.handle_report(report, self.now);
                 self.agents.push(agent);
                 let n = self.agents.len() - 1;
-                let first = REPORT.mul_f64(self.rng.random());
-                self.events.put(self.now + first, Event::Report(n, 1));
+                let first = REPORT_INTERVAL.mul_f64(self.rng.random());
+                self.events.push(self.now + first, Event::TargetReport(n, 1));
             }
         }
         for zone in 0..site.zones {
@@ -77,27 +77,27 @@
         }
         for n in 0..self.balancers.len() {
             self.read_store(n);
-            self.balancers[n].rotation = true;
+            self.balancers[n].in_rotation = true;
         }
         for (class, c) in site.classes.iter().enumerate() {
-            self.begin(class, c);
+            self.start_workload(class, c);
         }
-        self.events.put(self.now + PROBE, Event::Probe);
+        self.events.push(self.now + PROBE_INTERVAL, Event::ReadinessProbe);
     }
 
-    fn begin(&mut self, class: usize, c: &Class) {
-        match c.behavior {
-            Behavior::Feed { users, pause } => {
+    fn start_workload(&mut self, class: usize, c: &RequestClass) {
+        match c.workload {
+            Workload::ClosedLoop { users, think_time } => {
                 for user in 0..users {
                     let zone = (user % u32::from(self.site.zones)) as u8;
-                    let at = self.now + pause.mul_f64(self.rng.random());
-                    let caller = self.caller(class, zone, at);
+                    let at = self.now + think_time.mul_f64(self.rng.random());
+                    let caller = self.new_caller(class, zone, at);
                     let addr = caller.flow.caller;
                     self.callers.insert(addr, caller);
-                    self.events.put(at, Event::Caller(addr, 0, Step::Again));
+                    self.events.push(at, Event::CallerStep(addr, 0, Step::OpenFlow));
                 }
             }
-            Behavior::Fresh { .. } => self.events.put(self.now, Event::Fresh(class)),
+            Workload::OpenLoop { .. } => self.events.push(self.now, Event::Arrival(class)),
         }
     }
 
@@ -105,7 +105,13 @@
         let n = self.balancers.len();
         let host = Host::new(self.site.balancer_cpu, self.site.link_mbps, self.now);
         let steering = self.new_steering(n, zone);
-        self.balancers.push(Balancer { host, steering, zone, rotation: false, missed: 0 });
+        self.balancers.push(Balancer {
+            host,
+            steering,
+            zone,
+            in_rotation: false,
+            missed_probes: 0,
+        });
         n
     }
 
@@ -121,10 +127,10 @@
         FlowTracker::new(name, Duration::from_secs(60)).with_policy(self.policy.agent.clone())
     }
 
-    pub(super) fn report(&self, service: usize, boot: u64, seq: u64) -> Report {
+    pub(super) fn target_report(&self, service: usize, incarnation: u64, seq: u64) -> Report {
         let s = &self.site.services[service];
         Report {
-            incarnation: Incarnation { id: "target".into(), started_ms: Some(boot * 1_000) },
+            incarnation: Incarnation { id: "target".into(), started_ms: Some(incarnation * 1_000) },
             service: s.name.into(),
             slots: s.slots,
             state: TargetState::Ready,
@@ -137,25 +143,30 @@
         let routes = self.site.classes.iter().enumerate().map(|(n, class)| {
             let service = self.site.services[class.service].name.into();
             let weighted = WeightedService { service, weight: 1, max_flows: 2_000 };
-            let route =
-                Route { name: "r".into(), services: vec![weighted], request_timeout: class.limit };
+            let route = Route {
+                name: "r".into(),
+                services: vec![weighted],
+                request_timeout: class.timeout,
+            };
             (vip(n), route)
         });
         Routes { version: 1, by_address: routes.collect(), idle_timeout: Duration::from_secs(15) }
     }
 
-    /// A balancer learns what the store says now.
+    /// A balancer reads routes and agents from the store.
     pub(super) fn read_store(&mut self, n: usize) {
         let listed: Vec<ListedAgent> = self
             .agents
             .iter()
             .enumerate()
-            .filter(|(_, a)| !a.left)
+            .filter(|(_, a)| !a.removed)
             .map(|(i, a)| ListedAgent {
                 addr: agent_addr(i),
                 zone: zone_name(a.zone),
                 service: self.site.services[a.service].name.into(),
-                incarnation: Some(self.report(a.service, a.listed, 1).incarnation),
+                incarnation: Some(
+                    self.target_report(a.service, a.registered_incarnation, 1).incarnation,
+                ),
             })
             .collect();
         let routes = self.routes();
--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -1,164 +1,167 @@
-//! The size of a modelled site: VMs, targets, callers and what they ask.
+//! Description of a simulated site: VMs, links, services and callers' workloads.
 
 use std::time::Duration;
 
-/// How routers spread flows over the balancers in rotation.
+/// How routers choose the balancer of a flow among those in rotation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Spread {
-    /// By the remainder of a hash: a balancer that joins or leaves moves nearly
-    /// all flows of its data centre.
+pub enum FlowHash {
+    /// Hash modulo the number of balancers: a balancer that joins or leaves moves
+    /// nearly all flows of its data centre.
     #[default]
-    Remainder,
-    /// By rendezvous hashing: only flows of that balancer move.
-    Steady,
+    Modulo,
+    /// Rendezvous hashing: only the flows of that balancer move.
+    Rendezvous,
 }
 
-/// One service and its targets.
+/// A service and its targets.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Service name.
     pub name: &'static str,
-    /// Its targets, spread over the data centres in turn.
+    /// Number of targets, spread evenly over the data centres.
     pub targets: u16,
-    /// Requests that a target works on at once.
+    /// Requests that a target executes concurrently.
     pub slots: u32,
-    /// Requests that wait for a slot at most; more are refused as not run.
-    pub queue: usize,
+    /// Requests that may wait for a slot of a target; further ones are shed.
+    pub queue_limit: usize,
 }
 
-/// How callers of one class come.
+/// Workload model of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Behavior {
-    /// Users who hold a flow open and ask again after a pause.
-    Feed {
-        /// Number of users in all.
+pub enum Workload {
+    /// Closed loop: a fixed number of users, each with one request at a time on a
+    /// flow that stays open.
+    ClosedLoop {
+        /// Number of users.
         users: u32,
-        /// Mean pause between an answer and the next request.
-        pause: Duration,
+        /// Mean time between a response and the next request.
+        think_time: Duration,
     },
-    /// A flow for each request, that many a second in all.
-    Fresh {
-        /// Requests a second.
+    /// Open loop: Poisson arrivals, each request on a new flow.
+    OpenLoop {
+        /// Mean arrivals per second.
         rate: f64,
     },
 }
 
-/// One class of requests.
+/// A class of similar requests.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// Which of the site's services it asks.
+pub struct RequestClass {
+    /// Index of the service in [`Site::services`].
     pub service: usize,
-    /// How its callers come.
-    pub behavior: Behavior,
-    /// Mean work of a target; between half and one and a half of it.
-    pub work: Duration,
-    /// Bytes of a request.
-    pub request: u32,
-    /// Bytes of an answer.
-    pub answer: u32,
-    /// An answer after this is late.
-    pub aim: Duration,
-    /// When the caller gives the request up.
-    pub limit: Duration,
-    /// Whether a request may run twice.
+    /// When its requests are sent.
+    pub workload: Workload,
+    /// Mean execution time at a target; uniformly distributed between half of it
+    /// and one and a half times it.
+    pub service_time: Duration,
+    /// Size of a request.
+    pub request_bytes: u32,
+    /// Size of a response.
+    pub response_bytes: u32,
+    /// A response after this time counts as late.
+    pub latency_goal: Duration,
+    /// When the caller gives up.
+    pub timeout: Duration,
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
 }
 
-/// A modelled site.
+/// A simulated site.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Data centres.
+    /// Number of data centres.
     pub zones: u8,
-    /// Balancers in each.
+    /// Balancers per data centre.
     pub balancers: u8,
-    /// The services.
+    /// Services; [`RequestClass::service`] is an index into them.
     pub services: Vec<Service>,
-    /// What callers ask.
-    pub classes: Vec<Class>,
-    /// How routers spread flows.
-    pub spread: Spread,
-    /// Link of a balancer, in Mbit/s.
+    /// Request classes of the callers.
+    pub classes: Vec<RequestClass>,
+    /// How routers choose a balancer.
+    pub flow_hash: FlowHash,
+    /// Link bandwidth of a balancer's VM, in Mbit/s.
     pub link_mbps: f64,
-    /// A balancer's share of a core.
+    /// Share of a CPU core that a balancer has.
     pub balancer_cpu: f64,
-    /// An agent's share of a core.
+    /// Share of a CPU core that an agent has.
     pub agent_cpu: f64,
-    /// How long the load lasts.
-    pub length: Duration,
+    /// How long callers start new requests.
+    pub load_duration: Duration,
 }
 
 const MS: Duration = Duration::from_millis(1);
 
 impl Site {
-    /// Fifteen VMs with 400 requests a second: 4 balancers in 4 data centres, 7
-    /// targets for feeds and filings, 4 for downloads. Figures of a site whose
-    /// operators gave them: feeds of 55 ms work, filings of 72 ms, downloads of
-    /// 80 KB, targets of 7 slots that are half to two thirds busy.
+    /// Fifteen VMs and about 400 requests per second: one balancer in each of 4 data
+    /// centres, 7 targets for feeds and filings, 4 targets for downloads.
     #[must_use]
     pub fn small() -> Self {
         Self {
             zones: 4,
             balancers: 1,
             services: vec![
-                Service { name: "desk", targets: 7, slots: 7, queue: 28 },
-                Service { name: "maps", targets: 4, slots: 7, queue: 28 },
+                Service { name: "desk", targets: 7, slots: 7, queue_limit: 28 },
+                Service { name: "maps", targets: 4, slots: 7, queue_limit: 28 },
             ],
-            classes: Self::classes(290, 83.0, 25.0).into(),
-            spread: Spread::Remainder,
+            classes: Self::base_classes(290, 83.0, 25.0).into(),
+            flow_hash: FlowHash::Modulo,
             link_mbps: 1_000.0,
             balancer_cpu: 0.25,
             agent_cpu: 0.15,
-            length: Duration::from_secs(12),
+            load_duration: Duration::from_secs(12),
         }
     }
 
-    /// The same workload grown to 62 VMs: 16 balancers with narrow links, 37
-    /// targets of 4 slots for feeds and filings and 9 for downloads.
+    /// The workload of [`Site::small`] scaled up to 62 VMs: 16 balancers with slower
+    /// links, 37 targets for feeds and filings, 9 targets for downloads.
     #[must_use]
     pub fn grown() -> Self {
         Self {
             balancers: 4,
             services: vec![
-                Service { name: "desk", targets: 37, slots: 4, queue: 16 },
-                Service { name: "maps", targets: 9, slots: 4, queue: 16 },
+                Service { name: "desk", targets: 37, slots: 4, queue_limit: 16 },
+                Service { name: "maps", targets: 9, slots: 4, queue_limit: 16 },
             ],
-            classes: Self::classes(1_300, 375.0, 112.0).into(),
+            classes: Self::base_classes(1_300, 375.0, 112.0).into(),
             link_mbps: 30.0,
             balancer_cpu: 0.12,
             ..Self::small()
         }
     }
 
-    /// Ninety-one VMs with 1,800 requests a second: 26 balancers less two, 52
-    /// targets of 2 slots for feeds and quotes and 13 for uploads. Figures of a
-    /// site whose operators gave them: feeds of 40 ms work, quotes of 52 ms that
-    /// may not run twice, uploads of 40 KB; entry links of 10 Mbit/s and 0.12 of
-    /// a core, time limits of 1.5 to 4 s. Targets are two thirds busy.
+    /// Eighty-nine VMs and about 1,800 requests per second: 24 balancers with links
+    /// of 10 Mbit/s, 52 targets of 2 slots for feeds and quotes, 13 targets for
+    /// uploads, and short timeouts.
     #[must_use]
     pub fn dense() -> Self {
-        let [feed, filing, download] = Self::classes(3_500, 375.0, 113.0);
-        let feed = Class {
-            behavior: Behavior::Feed { users: 3_500, pause: 2_600 * MS },
-            work: 40 * MS,
-            answer: 2_000,
-            aim: 300 * MS,
-            limit: 1_500 * MS,
+        let [feed, filing, download] = Self::base_classes(3_500, 375.0, 113.0);
+        let feed = RequestClass {
+            workload: Workload::ClosedLoop { users: 3_500, think_time: 2_600 * MS },
+            service_time: 40 * MS,
+            response_bytes: 2_000,
+            latency_goal: 300 * MS,
+            timeout: 1_500 * MS,
             ..feed
         };
-        let quote = Class { work: 52 * MS, aim: 400 * MS, limit: 2_000 * MS, ..filing };
-        let upload = Class {
-            request: 40_000,
-            answer: 300,
-            aim: 800 * MS,
-            limit: 4_000 * MS,
+        let quote = RequestClass {
+            service_time: 52 * MS,
+            latency_goal: 400 * MS,
+            timeout: 2_000 * MS,
+            ..filing
+        };
+        let upload = RequestClass {
+            request_bytes: 40_000,
+            response_bytes: 300,
+            latency_goal: 800 * MS,
+            timeout: 4_000 * MS,
             idempotent: false,
             ..download
         };
         Self {
             balancers: 6,
             services: vec![
-                Service { name: "rates", targets: 52, slots: 2, queue: 8 },
-                Service { name: "checks", targets: 13, slots: 2, queue: 8 },
+                Service { name: "rates", targets: 52, slots: 2, queue_limit: 8 },
+                Service { name: "checks", targets: 13, slots: 2, queue_limit: 8 },
             ],
             classes: vec![feed, quote, upload],
             link_mbps: 10.0,
@@ -167,28 +170,28 @@
         }
     }
 
-    /// A hundred and ninety-six VMs in 5 data centres with 1,470 requests a second:
-    /// 60 balancers with links of 20 Mbit/s, 109 targets of 2 slots for feeds and
-    /// payments and 27 for uploads. Figures of a site whose operators gave them: the
-    /// work of [`Site::dense`], aims of 0.5 to 1.2 s and time limits of 4 to 10 s.
+    /// 196 VMs in 5 data centres and about 1,470 requests per second: 60 balancers
+    /// with links of 20 Mbit/s, 109 targets for feeds and quotes, 27 targets for
+    /// uploads. Requests are those of [`Site::dense`] with longer timeouts.
     #[must_use]
     pub fn large() -> Self {
         let dense = Self::dense();
         let mut classes = dense.classes.clone();
-        let asked = [
-            (Behavior::Feed { users: 2_900, pause: 2_600 * MS }, 500, 4_000),
-            (Behavior::Fresh { rate: 306.0 }, 500, 5_000),
-            (Behavior::Fresh { rate: 92.0 }, 1_200, 10_000),
+        let workloads = [
+            (Workload::ClosedLoop { users: 2_900, think_time: 2_600 * MS }, 500, 4_000),
+            (Workload::OpenLoop { rate: 306.0 }, 500, 5_000),
+            (Workload::OpenLoop { rate: 92.0 }, 1_200, 10_000),
         ];
-        for (class, (behavior, aim, limit)) in classes.iter_mut().zip(asked) {
-            (class.behavior, class.aim, class.limit) = (behavior, aim * MS, limit * MS);
+        for (class, (workload, goal_ms, timeout_ms)) in classes.iter_mut().zip(workloads) {
+            (class.workload, class.latency_goal, class.timeout) =
+                (workload, goal_ms * MS, timeout_ms * MS);
         }
         Self {
             zones: 5,
             balancers: 12,
             services: vec![
-                Service { name: "rates", targets: 109, slots: 2, queue: 8 },
-                Service { name: "checks", targets: 27, slots: 2, queue: 8 },
+                Service { name: "rates", targets: 109, slots: 2, queue_limit: 8 },
+                Service { name: "checks", targets: 27, slots: 2, queue_limit: 8 },
             ],
             classes,
             link_mbps: 20.0,
@@ -196,56 +199,57 @@
         }
     }
 
-    fn classes(users: u32, filings: f64, downloads: f64) -> [Class; 3] {
-        let feed = Class {
+    fn base_classes(users: u32, filings: f64, downloads: f64) -> [RequestClass; 3] {
+        let feed = RequestClass {
             service: 0,
-            behavior: Behavior::Feed { users, pause: 900 * MS },
-            work: 55 * MS,
-            request: 120,
-            answer: 4_000,
-            aim: 250 * MS,
-            limit: 4_000 * MS,
+            workload: Workload::ClosedLoop { users, think_time: 900 * MS },
+            service_time: 55 * MS,
+            request_bytes: 120,
+            response_bytes: 4_000,
+            latency_goal: 250 * MS,
+            timeout: 4_000 * MS,
             idempotent: true,
         };
-        let filing = Class {
-            behavior: Behavior::Fresh { rate: filings },
-            work: 72 * MS,
-            request: 900,
-            answer: 600,
-            aim: 300 * MS,
-            limit: 5_000 * MS,
+        let filing = RequestClass {
+            workload: Workload::OpenLoop { rate: filings },
+            service_time: 72 * MS,
+            request_bytes: 900,
+            response_bytes: 600,
+            latency_goal: 300 * MS,
+            timeout: 5_000 * MS,
             idempotent: false,
             ..feed.clone()
         };
-        let download = Class {
+        let download = RequestClass {
             service: 1,
-            behavior: Behavior::Fresh { rate: downloads },
-            work: 5 * MS,
-            answer: 80_000,
-            aim: 500 * MS,
-            limit: 8_000 * MS,
+            workload: Workload::OpenLoop { rate: downloads },
+            service_time: 5 * MS,
+            response_bytes: 80_000,
+            latency_goal: 500 * MS,
+            timeout: 8_000 * MS,
             ..feed.clone()
         };
         [feed, filing, download]
     }
 
-    /// The site with balancers whose links carry `mbps` megabits a second.
+    /// Sets the link bandwidth of balancers.
     #[must_use]
-    pub const fn link(mut self, mbps: f64) -> Self {
+    pub const fn with_link_mbps(mut self, mbps: f64) -> Self {
         self.link_mbps = mbps;
         self
     }
 
-    /// The site with `x` times as many callers.
+    /// Multiplies the users and arrival rates of all classes by `factor`.
     #[must_use]
-    pub fn load(mut self, x: f64) -> Self {
+    pub fn scale_load(mut self, factor: f64) -> Self {
         for class in &mut self.classes {
-            class.behavior = match class.behavior {
-                // Positive and far below the type's limit.
-                Behavior::Feed { users, pause } => {
-                    Behavior::Feed { users: (f64::from(users) * x).round() as u32, pause }
-                }
-                Behavior::Fresh { rate } => Behavior::Fresh { rate: rate * x },
+            class.workload = match class.workload {
+                // The product is positive and far below `u32::MAX`.
+                Workload::ClosedLoop { users, think_time: pause } => Workload::ClosedLoop {
+                    users: (f64::from(users) * factor).round() as u32,
+                    think_time: pause,
+                },
+                Workload::OpenLoop { rate } => Workload::OpenLoop { rate: rate * factor },
             };
         }
         self
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -1,91 +1,96 @@
-//! A modelled target: opens flows, runs each request in one of its slots, and
-//! gives back packets of flows that it does not hold.
+//! Simulated target: accepts flows, executes requests in a fixed number of slots
+//! with a bounded queue, and bounces packets of flows that it does not hold.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::stream::{DATA, Sending};
+use super::sender::{MSS, Sender};
 use crate::flow::{Flags, Flow, Segment};
 
-/// Bytes of the answer by which a full target refuses a request as not run.
-pub const SHED: u32 = 100;
+/// Size of the response by which a full target sheds a request, in bytes.
+pub const SHED_RESPONSE_BYTES: u32 = 100;
 
-/// How long a target that has started is slow, and how many times: as operators
-/// say of theirs.
-const COLD: Duration = Duration::from_secs(2);
-const COLD_TIMES: f64 = 1.6;
+/// How long a target is cold after its start.
+const WARM_UP: Duration = Duration::from_secs(2);
 
-/// How far past its first sequence number the first acknowledgement may lie.
-const FIRST_ACK: u32 = 16 * DATA;
+/// Factor on execution times while a target is cold.
+const COLD_FACTOR: f64 = 1.6;
 
-/// One flow at its target.
+/// Maximum distance from the initial sequence number of the acknowledgement that
+/// completes the handshake.
+const FIRST_ACK_WINDOW: u32 = 16 * MSS;
+
+/// A flow at its target.
 #[derive(Debug)]
-pub struct Serving {
-    /// First sequence number of the target.
+pub struct TargetFlow {
+    /// The target's initial sequence number.
     pub isn: u32,
-    /// The end of the handshake came.
-    pub open: bool,
-    /// Next byte expected of the caller.
+    /// Whether the handshake is complete.
+    pub established: bool,
+    /// Next byte expected from the caller.
     pub next: u32,
-    /// Bytes of the present request that are still to come.
-    missing: u32,
-    /// The answer that is being sent.
-    pub sending: Option<Sending>,
-    /// Position of the next answer's first byte.
-    seq: u32,
-    /// Counts the answers, so that timers of earlier ones are told.
-    pub answers: u32,
-    unacked: u8,
+    /// Bytes of the current request not yet received.
+    remaining: u32,
+    /// Sender of the last response.
+    pub sender: Option<Sender>,
+    /// Sequence number of the next response's first byte.
+    response_seq: u32,
+    /// Number of responses started, so that timers of earlier ones are ignored.
+    pub responses: u32,
+    /// Packets received since the last acknowledgement was sent.
+    unacked_packets: u8,
 }
 
-/// What a packet did at the target.
+/// Result of a packet at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// It is not held here, or cannot be accepted.
-    Back,
-    /// Nothing more than the packets that it put out.
-    Noted,
-    /// A whole request has come.
-    Request,
-    /// Bytes of the present answer were acknowledged.
-    Room,
+pub enum PacketResult {
+    /// The target is down or does not hold the flow: the packet goes back.
+    Bounced,
+    /// Accepted; nothing to do but to send the replies.
+    Accepted,
+    /// A request was received completely.
+    RequestComplete,
+    /// Bytes of the response were acknowledged, so more can be sent.
+    WindowOpened,
 }
 
-/// A target.
+/// A simulated target.
 #[derive(Debug)]
 pub struct Target {
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub up: bool,
-    /// Counts its starts.
-    pub boot: u64,
-    /// Counts its reports since its start.
+    /// Number of starts, so that events of an earlier run can be recognised.
+    pub incarnation: u64,
+    /// Reports sent since the last start.
     pub reports: u64,
-    /// How many times slower than usual it works.
-    pub slow: f64,
-    /// Until when it is slow after its start.
-    pub cold_until: Instant,
+    /// Factor on execution times; 1 is normal speed.
+    pub slowdown: f64,
+    /// When the target is no longer cold.
+    pub warm_at: Instant,
     slots: u32,
-    room: usize,
+    queue_limit: usize,
     busy: u32,
+    /// Flows whose requests wait for a slot.
     queue: VecDeque<Flow>,
-    /// The flows that it holds.
-    pub flows: HashMap<Flow, Serving>,
+    /// Flows that the target holds.
+    pub flows: HashMap<Flow, TargetFlow>,
+    /// Initial sequence number of the flow accepted last.
     isn: u32,
 }
 
 impl Target {
-    /// A running target with `slots` and a queue of `room` requests, whose first
-    /// sequence numbers begin at `isn`.
+    /// Creates a running target with a queue of up to `queue_limit` requests.
+    /// Initial sequence numbers count up from `isn`.
     #[must_use]
-    pub fn new(slots: u32, room: usize, isn: u32, now: Instant) -> Self {
+    pub fn new(slots: u32, queue_limit: usize, isn: u32, now: Instant) -> Self {
         Self {
             up: true,
-            boot: 1,
+            incarnation: 1,
             reports: 0,
-            slow: 1.0,
-            cold_until: now,
+            slowdown: 1.0,
+            warm_at: now,
             slots,
-            room,
+            queue_limit,
             busy: 0,
             queue: VecDeque::new(),
             flows: HashMap::new(),
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Its process ends; its flows are gone.
+    /// Ends the process and drops its flows.
     pub fn crash(&mut self) {
         self.up = false;
         self.busy = 0;
@@ -101,87 +106,88 @@
         self.flows.clear();
     }
 
-    /// Its process starts again.
+    /// Restarts the process, cold.
     pub fn start(&mut self, now: Instant) {
         self.up = true;
-        self.cold_until = now + COLD;
-        self.boot += 1;
+        self.warm_at = now + WARM_UP;
+        self.incarnation += 1;
         self.reports = 0;
     }
 
-    /// Takes a packet; what it answers at once goes to `out`.
-    pub fn packet(
+    /// Receives a packet of a flow whose requests have `request_len` bytes, and
+    /// appends immediate replies to `out`.
+    pub fn receive(
         &mut self,
         seg: &Segment,
-        request: u32,
+        request_len: u32,
         now: Instant,
         out: &mut Vec<Segment>,
-    ) -> Effect {
+    ) -> PacketResult {
         let flow = seg.flow_from_caller();
         if !self.up {
-            return Effect::Back;
+            return PacketResult::Bounced;
         }
         if seg.opens_flow() {
-            self.open(flow, seg, request, out);
-            return Effect::Noted;
+            self.accept_flow(flow, seg, request_len, out);
+            return PacketResult::Accepted;
         }
-        let Some(s) = self.flows.get_mut(&flow).filter(|s| s.holds(seg)) else {
-            return Effect::Back;
+        let Some(s) = self.flows.get_mut(&flow).filter(|s| s.accepts(seg)) else {
+            return PacketResult::Bounced;
         };
-        s.open = true;
+        s.established = true;
         if seg.flags.fin {
             out.push(segment(
                 flow,
                 Flags { fin: true, ack: true, ..Flags::default() },
-                s.seq,
+                s.response_seq,
                 s.next,
             ));
             self.flows.remove(&flow);
-            return Effect::Noted;
+            return PacketResult::Accepted;
         }
-        let mut effect = Effect::Noted;
-        if s.sending.as_mut().is_some_and(|sending| sending.acknowledge(seg.ack, now)) {
-            effect = Effect::Room;
+        let mut result = PacketResult::Accepted;
+        if s.sender.as_mut().is_some_and(|sender| sender.acknowledge(seg.ack, now)) {
+            result = PacketResult::WindowOpened;
         }
         if seg.len > 0 {
-            effect = s.data(flow, seg, request, effect, out);
+            result = s.receive_data(flow, seg, request_len, result, out);
         }
-        effect
+        result
     }
 
-    fn open(&mut self, flow: Flow, seg: &Segment, request: u32, out: &mut Vec<Segment>) {
+    fn accept_flow(&mut self, flow: Flow, seg: &Segment, request_len: u32, out: &mut Vec<Segment>) {
         self.isn = self.isn.wrapping_add(100_003);
         let isn = self.isn;
-        let s = self.flows.entry(flow).or_insert_with(|| Serving {
+        let s = self.flows.entry(flow).or_insert_with(|| TargetFlow {
             isn,
-            open: false,
+            established: false,
             next: seg.seq.wrapping_add(1),
-            missing: request,
-            sending: None,
-            seq: isn.wrapping_add(1),
-            answers: 0,
-            unacked: 0,
+            remaining: request_len,
+            sender: None,
+            response_seq: isn.wrapping_add(1),
+            responses: 0,
+            unacked_packets: 0,
         });
         let flags = Flags { syn: true, ack: true, ..Flags::default() };
         out.push(segment(flow, flags, s.isn, s.next));
     }
 
-    /// A request of `flow` wants a slot; says whether it has one, or that it is
-    /// refused as not run.
-    pub fn admit(&mut self, flow: Flow) -> Admitted {
+    /// Gives the request of `flow` a slot, queues it, or sheds it if the queue is
+    /// full.
+    pub fn admit(&mut self, flow: Flow) -> Admission {
         if self.busy < self.slots {
             self.busy += 1;
-            return Admitted::Runs;
+            return Admission::Started;
         }
-        if self.queue.len() >= self.room {
-            return Admitted::Shed;
+        if self.queue.len() >= self.queue_limit {
+            return Admission::Shed;
         }
         self.queue.push_back(flow);
-        Admitted::Waits
+        Admission::Queued
     }
 
-    /// A slot is free again; returns the flow whose request takes it.
-    pub fn release(&mut self) -> Option<Flow> {
+    /// Frees a slot; returns the flow whose queued request takes it.
+    pub fn release_slot(&mut self) -> Option<Flow> {
         let next = self.queue.pop_front();
         if next.is_none() {
             self.busy = self.busy.saturating_sub(1);
@@ -189,94 +195,102 @@
         next
     }
 
-    /// How long work of `mean` takes at `now`, `x` being drawn from 0.5 to 1.5.
+    /// Execution time at `now` of a request with the given mean, where `factor`
+    /// is its random variation.
     #[must_use]
-    pub fn work(&self, mean: Duration, x: f64, now: Instant) -> Duration {
-        let cold = if now < self.cold_until { COLD_TIMES } else { 1.0 };
-        mean.mul_f64(x * self.slow * cold)
+    pub fn service_time(&self, mean: Duration, factor: f64, now: Instant) -> Duration {
+        let cold = if now < self.warm_at { COLD_FACTOR } else { 1.0 };
+        mean.mul_f64(factor * self.slowdown * cold)
     }
 
-    /// The answer of `len` bytes to the present request of `flow` is ready.
-    pub fn answer(&mut self, flow: Flow, len: u32, request: u32) -> Option<&mut Serving> {
+    /// Starts a response of `len` bytes on `flow`, and expects a next request of
+    /// `request_len` bytes. `None` if the target does not hold the flow.
+    pub fn start_response(
+        &mut self,
+        flow: Flow,
+        len: u32,
+        request_len: u32,
+    ) -> Option<&mut TargetFlow> {
         let s = self.flows.get_mut(&flow)?;
-        s.sending = Some(Sending::new(s.seq, len));
-        s.seq = s.seq.wrapping_add(len);
-        s.missing = request;
-        s.answers += 1;
+        s.sender = Some(Sender::new(s.response_seq, len));
+        s.response_seq = s.response_seq.wrapping_add(len);
+        s.remaining = request_len;
+        s.responses += 1;
         Some(s)
     }
 }
 
-/// What becomes of a request at its target.
+/// Admission of a request at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
-    /// It runs.
-    Runs,
-    /// It waits for a slot.
-    Waits,
-    /// It is refused as not run.
+pub enum Admission {
+    /// It has a slot.
+    Started,
+    /// It is queued for a slot.
+    Queued,
+    /// It is refused before execution.
     Shed,
 }
 
-impl Serving {
-    /// Whether a packet belongs to this flow: its caller goes on with the target
-    /// whose first sequence number it acknowledges.
-    const fn holds(&self, seg: &Segment) -> bool {
-        self.open || seg.ack.wrapping_sub(self.isn).wrapping_sub(1) < FIRST_ACK
+impl TargetFlow {
+    /// Whether a packet belongs to this flow. While the flow is not established,
+    /// its acknowledgement tells whether the caller chose this target's SYN-ACK.
+    const fn accepts(&self, seg: &Segment) -> bool {
+        self.established || seg.ack.wrapping_sub(self.isn).wrapping_sub(1) < FIRST_ACK_WINDOW
     }
 
-    fn data(
+    fn receive_data(
         &mut self,
         flow: Flow,
         seg: &Segment,
-        request: u32,
-        effect: Effect,
+        request_len: u32,
+        previous: PacketResult,
         out: &mut Vec<Segment>,
-    ) -> Effect {
+    ) -> PacketResult {
         let len = u32::from(seg.len);
-        let mut result = effect;
-        let fits = seg.seq == self.next && len <= self.missing;
-        if fits {
+        let mut result = previous;
+        let in_order = seg.seq == self.next && len <= self.remaining;
+        if in_order {
             self.next = self.next.wrapping_add(len);
-            self.missing -= len;
-            self.unacked += 1;
-            if self.missing == 0 {
-                result = Effect::Request;
+            self.remaining -= len;
+            self.unacked_packets += 1;
+            if self.remaining == 0 {
+                result = PacketResult::RequestComplete;
             }
         }
-        let copy = !fits;
-        if copy || self.unacked >= 2 || self.missing == 0 || request <= DATA {
-            self.unacked = 0;
-            let seq = self.sending.map_or(self.seq, |s| s.end());
+        if !in_order || self.unacked_packets >= 2 || self.remaining == 0 || request_len <= MSS {
+            self.unacked_packets = 0;
+            let seq = self.sender.map_or(self.response_seq, |s| s.end());
             out.push(segment(flow, Flags { ack: true, ..Flags::default() }, seq, self.next));
         }
         result
     }
 
-    /// The packets of the answer that the window has room for.
-    pub fn packets(&mut self, flow: Flow, out: &mut Vec<(Segment, u32)>) {
+    /// Appends the packets of the response that the send window allows to `out`,
+    /// with the length of their data.
+    pub fn ready_packets(&mut self, flow: Flow, out: &mut Vec<(Segment, u32)>) {
         let next = self.next;
-        let Some(sending) = &mut self.sending else { return };
-        while let Some((seq, len)) = sending.packet() {
+        let Some(sender) = &mut self.sender else { return };
+        while let Some((seq, len)) = sender.next_packet() {
             out.push((segment(flow, Flags { ack: true, ..Flags::default() }, seq, next), len));
         }
     }
 }
 
-/// A packet of the target without data.
+/// A packet from the target without data.
 fn segment(flow: Flow, flags: Flags, seq: u32, ack: u32) -> Segment {
     Segment { src: flow.vip, dst: flow.caller, flags, seq, ack, len: 0 }
 }
 
-/// When an event of one start of a target counts.
+/// Timer of a target, for an execution or a retransmission. It is void if the target
+/// has restarted and, for a retransmission, if another response has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timer {
-    /// The flow.
+    /// Flow of the response.
     pub flow: Flow,
-    /// The target's start.
-    pub boot: u64,
-    /// The flow's answer.
-    pub answer: u32,
-    /// When the event was put in.
-    pub since: Instant,
+    /// [`Target::incarnation`] when it was set.
+    pub incarnation: u64,
+    /// [`TargetFlow::responses`] when it was set.
+    pub response: u32,
+    /// When it was set.
+    pub set_at: Instant,
 }
