--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -1,20 +1,17 @@
-//! The fabric stand-in: where callers' ordinary TCP connections meet the
-//! system, and where each of their packets is sprayed over the balancers.
+//! Stand-in for the fabric between callers and balancers.
 //!
-//! For each profile it listens on the profile's caller-facing address. Each
-//! accepted connection becomes a flow: an `Open` packet first, then the
-//! caller's bytes cut into `Data` packets, each sent to a balancer picked at
-//! random, so consecutive packets of one flow cross different balancers.
-//! Like the caller's TCP stack, it resends what an agent has not acknowledged
-//! (a balancer may die with the packet inside) and puts the agent's answers
-//! back in order. On order it loses, doubles, delays or mutes packets.
-
-mod carry;
+//! It accepts callers' TCP connections at the address of each profile. Each connection
+//! becomes a flow of packets, and each packet goes to a random balancer, so that one
+//! flow crosses many balancers. Unacknowledged packets are resent and replies are put
+//! back in order, as the caller's TCP stack would do. Injected faults act on packets
+//! in both directions.
+
+mod connection;
 mod rotation;
-mod spray;
+mod sprayer;
 
 use std::cell::RefCell;
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,180 +23,196 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use spray::{Outcome, Spray};
+use sprayer::{Outcome, Sprayer};
 
 use crate::admin::{self, Board, Faults};
 use crate::events;
 use crate::settings::{FabricSettings, Settings};
 use crate::wire::{self, Owner, Packet, PacketKind, Reply, ReplyKind};
 
-/// Largest datagram taken, in bytes.
-const DATAGRAM: usize = 64 * 1024;
+/// Size of the receive buffer; a UDP datagram is never larger.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// How often changed faults are looked for.
-const FAULT_TICK: Duration = Duration::from_millis(20);
+/// Interval at which the injected faults are checked for changes.
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// Where replies are delivered, by flow.
 type Flows = Rc<RefCell<HashMap<u64, mpsc::UnboundedSender<Reply>>>>;
 
-/// How long the fabric waits for what.
+/// Timeouts of a flow.
 #[derive(Clone, Copy, Debug)]
-struct Timers {
+struct Timeouts {
+    /// Retransmission timeout.
     rto: Duration,
+    /// How long an agent may take to accept or refuse the flow.
     open: Duration,
-    give_up: Duration,
+    /// How long the flow's agent may leave packets unacknowledged.
+    silence: Duration,
 }
 
-impl Timers {
-    const fn new(f: &FabricSettings) -> Self {
+impl Timeouts {
+    const fn new(settings: &FabricSettings) -> Self {
         Self {
-            rto: Duration::from_millis(f.rto_ms),
-            open: Duration::from_millis(f.open_ms),
-            give_up: Duration::from_millis(f.give_up_ms),
+            rto: Duration::from_millis(settings.rto_ms),
+            open: Duration::from_millis(settings.open_ms),
+            silence: Duration::from_millis(settings.give_up_ms),
         }
     }
 }
 
-/// What one flow needs to send its packets.
-struct Link {
+/// Identity of a flow and the means to send its packets.
+struct FlowContext {
     flow: u64,
     port: u16,
-    reply: SocketAddr,
-    timers: Timers,
-    spray: Spray,
+    reply_to: SocketAddr,
+    timeouts: Timeouts,
+    sprayer: Sprayer,
 }
 
-impl Link {
+impl FlowContext {
+    /// An empty packet of this flow; the caller sets sequence number, acknowledgement
+    /// and body.
     fn packet(&self, kind: PacketKind, owner: Owner) -> Packet {
-        let (flow, port, reply) = (self.flow, self.port, self.reply);
         Packet {
-            flow,
-            port,
+            flow: self.flow,
+            port: self.port,
             kind,
             seq: 0,
             ack: 0,
             owner,
-            reply_to: reply,
+            reply_to: self.reply_to,
             offer: None,
             body: Vec::new(),
         }
     }
 }
 
-/// Runs the fabric of a site until the process stops.
+/// Runs the fabric of a site until the process is told to stop.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound.
+/// Fails if an address cannot be bound or replies cannot be received.
 pub async fn run(settings: &Settings) -> anyhow::Result<()> {
     let f = &settings.fabric;
-    let sock =
+    let socket =
         UdpSocket::bind(f.addr).await.with_context(|| format!("fabric: binding {}", f.addr))?;
     let balancers: Vec<SocketAddr> = settings.balancers.iter().map(|b| b.addr).collect();
     let board = Board::new("fabric".into(), Arc::default());
     board.set_ready(true);
-    let desk = admin::Server::start(f.addr, board.clone()).await?;
-    let spray = Spray::new(sock, balancers.clone(), board.clone());
+    let admin_server = admin::Server::start(f.addr, board.clone()).await?;
+    let sprayer = Sprayer::new(socket, balancers.clone(), board.clone());
     let flows: Flows = Rc::default();
-    // Dropped, and so ended, with this function.
+    // Dropping the set aborts its tasks, also on an early return.
     let mut tasks = JoinSet::new();
     for p in &settings.profiles {
         let listener = TcpListener::bind(p.listen)
             .await
             .with_context(|| format!("fabric: binding {} for {}", p.listen, p.name))?;
-        log::info!("{} fabric takes {} callers on {}", events::FABRIC_START, p.name, p.listen);
-        let link = (p.listen.port(), f.addr, Timers::new(f));
-        tasks.spawn_local(accept(listener, link, spray.clone(), flows.clone()));
+        log::info!("{} fabric accepts callers of {} on {}", events::FABRIC_START, p.name, p.listen);
+        let flow_settings = (p.listen.port(), f.addr, Timeouts::new(f));
+        tasks.spawn_local(accept_callers(listener, flow_settings, sprayer.clone(), flows.clone()));
     }
-    let every = Duration::from_millis(f.probe_ms);
-    tasks.spawn_local(rotation::keep(spray.clone(), balancers, every));
-    tasks.spawn_local(watch_faults(spray.clone(), flows.clone()));
-    let mut term = signal(SignalKind::terminate()).context("fabric: signal")?;
+    let interval = Duration::from_millis(f.probe_ms);
+    tasks.spawn_local(rotation::maintain(sprayer.clone(), balancers, interval));
+    tasks.spawn_local(watch_faults(sprayer.clone(), flows.clone()));
+    let mut term = signal(SignalKind::terminate()).context("fabric: installing SIGTERM handler")?;
     let res = tokio::select! {
-        r = receive(&spray, &flows, f.addr) => r,
+        r = receive_replies(&sprayer, &flows, f.addr) => r,
         _ = term.recv() => Ok(()),
     };
-    desk.stop().await;
+    admin_server.stop().await;
     tasks.shutdown().await;
     res
 }
 
-/// Hands each reply to its flow, through the injected faults.
-async fn receive(spray: &Spray, flows: &Flows, me: SocketAddr) -> anyhow::Result<()> {
-    let mut buf = vec![0u8; DATAGRAM];
+/// Delivers each received reply to its flow, subject to the injected faults.
+async fn receive_replies(
+    sprayer: &Sprayer,
+    flows: &Flows,
+    reply_to: SocketAddr,
+) -> anyhow::Result<()> {
+    let mut buf = vec![0u8; MAX_DATAGRAM_BYTES];
     loop {
-        let (n, _) = spray.sock().recv_from(&mut buf).await.context("fabric: receiving")?;
-        let Ok(r) = wire::decode::<Reply>(&buf[..n]) else { continue };
-        let Outcome::Arrives(copies) = spray.outcome(r.flow) else { continue };
+        let (n, _) = sprayer.socket().recv_from(&mut buf).await.context("fabric: receiving")?;
+        let Ok(reply) = wire::decode::<Reply>(&buf[..n]) else { continue };
+        let Outcome::Delivered(copies) = sprayer.random_outcome(reply.flow) else { continue };
         for _ in 0..copies {
-            hand(spray, flows, r.clone(), me).await;
+            deliver(sprayer, flows, reply.clone(), reply_to).await;
         }
     }
 }
 
-async fn hand(spray: &Spray, flows: &Flows, r: Reply, me: SocketAddr) {
-    let to = flows.borrow().get(&r.flow).cloned();
-    match (to, spray.held_up()) {
+async fn deliver(sprayer: &Sprayer, flows: &Flows, reply: Reply, reply_to: SocketAddr) {
+    let flow_tx = flows.borrow().get(&reply.flow).cloned();
+    match (flow_tx, sprayer.random_delay()) {
         (Some(tx), None) => {
-            let _ = tx.send(r);
+            let _ = tx.send(reply);
         }
         (Some(tx), Some(delay)) => {
-            // A datagram on its way: it ends by itself.
+            // Detached: the task ends by itself after the delay.
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(delay).await;
-                let _ = tx.send(r);
+                let _ = tx.send(reply);
             });
         }
-        // An agent took a flow that is over (a late open): it lets go.
-        (None, _) if r.kind == ReplyKind::Accept => {
-            let (flow, port, owner, kind) = (r.flow, r.port, r.owner, PacketKind::Reset);
-            let body = Vec::new();
-            let p =
-                Packet { flow, port, kind, seq: 0, ack: 0, owner, reply_to: me, offer: None, body };
-            spray.send(&p).await;
+        // The flow is already over when its open is accepted: free it at the agent.
+        (None, _) if reply.kind == ReplyKind::Accept => {
+            let reset = Packet {
+                flow: reply.flow,
+                port: reply.port,
+                kind: PacketKind::Reset,
+                seq: 0,
+                ack: 0,
+                owner: reply.owner,
+                reply_to,
+                offer: None,
+                body: Vec::new(),
+            };
+            sprayer.send(&reset).await;
         }
         (None, _) => {}
     }
 }
 
-async fn accept(
+async fn accept_callers(
     listener: TcpListener,
-    (port, reply, timers): (u16, SocketAddr, Timers),
-    spray: Spray,
+    (port, reply_to, timeouts): (u16, SocketAddr, Timeouts),
+    sprayer: Sprayer,
     flows: Flows,
 ) {
-    let mut open = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         let Ok((caller, _)) = listener.accept().await else { continue };
         let _ = caller.set_nodelay(true);
         let flow = rand::random::<u64>();
         let (tx, rx) = mpsc::unbounded_channel();
         flows.borrow_mut().insert(flow, tx);
-        let link = Link { flow, port, reply, timers, spray: spray.clone() };
+        let ctx = FlowContext { flow, port, reply_to, timeouts, sprayer: sprayer.clone() };
         let flows = flows.clone();
-        while open.try_join_next().is_some() {}
-        open.spawn_local(async move {
-            carry::run(caller, &link, rx).await;
+        while connections.try_join_next().is_some() {}
+        connections.spawn_local(async move {
+            connection::run(caller, &ctx, rx).await;
             flows.borrow_mut().remove(&flow);
         });
     }
 }
 
-/// Logs each change of the injected faults, and mutes the flows that are open
-/// when `mute` is set.
-async fn watch_faults(spray: Spray, flows: Flows) {
-    let mut before = Faults::default();
+/// Logs each change of the injected faults. While `mute` is set, the flows that were
+/// open when it was set are muted.
+async fn watch_faults(sprayer: Sprayer, flows: Flows) {
+    let mut previous = Faults::default();
     loop {
-        tokio::time::sleep(FAULT_TICK).await;
-        let now = spray.faults();
-        if now == before {
+        tokio::time::sleep(FAULT_POLL_INTERVAL).await;
+        let faults = sprayer.faults();
+        if faults == previous {
             continue;
         }
-        log::warn!("{} faults set to {now:?}", events::FABRIC_FAULT);
-        match (before.mute, now.mute) {
-            (false, true) => spray.mute(flows.borrow().keys().copied().collect()),
-            (true, false) => spray.mute(Default::default()),
+        log::warn!("{} injected faults set to {faults:?}", events::FABRIC_FAULT);
+        match (previous.mute, faults.mute) {
+            (false, true) => sprayer.set_muted_flows(flows.borrow().keys().copied().collect()),
+            (true, false) => sprayer.set_muted_flows(HashSet::new()),
             _ => {}
         }
-        before = now;
+        previous = faults;
     }
 }
--- a/src/fabric/rotation.rs
+++ b/src/fabric/rotation.rs
@@ -1,24 +1,24 @@
-//! Which balancers are in rotation: the fabric asks each whether it is ready,
-//! and takes it out after two misses until it answers again.
+//! Health checks of the balancers: the fabric polls each for readiness and takes
+//! it out of rotation after consecutive failures, until it is ready again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::Spray;
+use super::Sprayer;
 use crate::admin::Peer;
 use crate::events;
 
-/// Misses in a row that take a balancer out.
-const MISSES: u32 = 2;
+/// Consecutive failed health checks that take a balancer out of rotation.
+const MAX_FAILURES: u32 = 2;
 
-struct Probe {
+struct HealthCheck {
     addr: SocketAddr,
     peer: Option<Peer>,
-    misses: u32,
+    failures: u32,
 }
 
-impl Probe {
-    async fn ask(&mut self, timeout: Duration) {
+impl HealthCheck {
+    async fn run(&mut self, timeout: Duration) {
         if self.peer.is_none() {
             self.peer = Peer::connect(self.addr, timeout).await.ok();
         }
@@ -29,32 +29,32 @@
         if ready.is_err() {
             self.peer = None;
         }
-        self.misses = if matches!(ready, Ok(true)) { 0 } else { self.misses + 1 };
+        self.failures = if matches!(ready, Ok(true)) { 0 } else { self.failures + 1 };
     }
 
-    const fn live(&self) -> bool {
-        self.misses < MISSES
+    const fn is_healthy(&self) -> bool {
+        self.failures < MAX_FAILURES
     }
 }
 
-/// Keeps the rotation of `spray` current, forever. When no balancer is ready,
-/// all are used.
-pub async fn keep(spray: Spray, balancers: Vec<SocketAddr>, every: Duration) {
-    let mut probes: Vec<Probe> =
-        balancers.iter().map(|&addr| Probe { addr, peer: None, misses: 0 }).collect();
-    let mut before = balancers.clone();
+/// Runs the health checks every `interval`, which is also their timeout, and updates
+/// the rotation of `sprayer`. If no balancer is healthy, all are in rotation.
+pub async fn maintain(sprayer: Sprayer, balancers: Vec<SocketAddr>, interval: Duration) {
+    let mut checks: Vec<HealthCheck> =
+        balancers.iter().map(|&addr| HealthCheck { addr, peer: None, failures: 0 }).collect();
+    let mut previous = balancers.clone();
     loop {
-        futures_util::future::join_all(probes.iter_mut().map(|p| p.ask(every))).await;
-        let mut live: Vec<SocketAddr> =
-            probes.iter().filter(|p| p.live()).map(|p| p.addr).collect();
-        if live.is_empty() {
-            live.clone_from(&balancers);
+        futures_util::future::join_all(checks.iter_mut().map(|c| c.run(interval))).await;
+        let mut healthy: Vec<SocketAddr> =
+            checks.iter().filter(|c| c.is_healthy()).map(|c| c.addr).collect();
+        if healthy.is_empty() {
+            healthy.clone_from(&balancers);
         }
-        if live != before {
-            log::info!("{} rotation: {live:?}", events::FABRIC_ROTATION);
-            before.clone_from(&live);
-            spray.rotate(live);
+        if healthy != previous {
+            log::info!("{} rotation: {healthy:?}", events::FABRIC_ROTATION);
+            previous.clone_from(&healthy);
+            sprayer.set_rotation(healthy);
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
