--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -14,7 +14,7 @@
 
 use jujubepost::bench::{self, Load};
 use jujubepost::ctl::{self, fleet};
-use jujubepost::up::{Plan, Site};
+use jujubepost::up::{Site, SiteSpec};
 
 const POINTS: [u16; 3] = [4, 8, 16];
 /// Feeds held open per agent.
@@ -92,7 +92,8 @@
 /// faster: one row for each rate, on a site of 8 targets.
 async fn changes() {
     println!("changes/s lb_B/s agent_B/s in_force_median_ms in_force_max_ms");
-    let path = Plan::new(16_600).balancers(2).meters(8).lease_ms(3_000).write("changes").unwrap();
+    let path =
+        SiteSpec::new(16_600).balancers(2).meters(8).lease_ms(3_000).write("changes").unwrap();
     let site = Site::start(&exe(), &path).await.unwrap();
     let s = site.settings.clone();
     let (lb, agent) = (site.pid("lb-0").unwrap(), site.pid("agent-meter-1").unwrap());
@@ -115,7 +116,7 @@
         let (median, max) = (ms(took.get(took.len() / 2)), ms(took.last()));
         println!("{rate} {lb_bps:.0} {agent_bps:.0} {median:.1} {max:.1}");
     }
-    site.down().await;
+    site.shut_down().await;
 }
 
 #[ntex::main]
@@ -126,7 +127,7 @@
     for (k, n) in POINTS.into_iter().enumerate() {
         let base = 15_000 + 500 * k as u16;
         let path =
-            Plan::new(base).balancers(2).meters(n).lease_ms(3_000).write("capacity").unwrap();
+            SiteSpec::new(base).balancers(2).meters(n).lease_ms(3_000).write("capacity").unwrap();
         let site = Site::start(&exe(), &path).await.unwrap();
         let (lb, agent) = (site.pid("lb-0").unwrap(), site.pid("agent-meter-1").unwrap());
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -175,7 +176,7 @@
             "{n} {calls:.1} {lb_bps:.0} {agent_bps:.0} {lb_cpu:.2} {agent_cpu:.2} {lb_rss} {agent_rss} {} {agent_loaded} {lb_loaded} {lb_busy:.1} {agent_busy:.1} {ms_per_k:.1} {agent_ms:.1}",
             feeds / u32::from(n)
         );
-        site.down().await;
+        site.shut_down().await;
     }
     changes().await;
 }
--- a/src/bench/feed.rs
+++ b/src/bench/feed.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 use super::Stats;
-use super::call::header;
+use super::request::header;
 use crate::settings::Service;
 
 /// A feed without a line for this long is broken: targets send five a second.
@@ -66,7 +66,7 @@
             counted = true;
         }
         if !lines.take(&mut seen) {
-            stats.borrow_mut().row.wrong += 1;
+            stats.borrow_mut().row.corrupted += 1;
             return true;
         }
     }
@@ -74,7 +74,7 @@
 
 fn count_feed(text: &str, service: Service, t: &mut Stats) {
     if header(text, "X-Service").is_some_and(|v| v != service.to_string()) {
-        t.row.foreign += 1;
+        t.row.misrouted += 1;
     }
     if let Some(name) = header(text, "X-Target") {
         *t.feeds.entry(name.to_string()).or_default() += 1;
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -8,9 +8,9 @@
 //! run it asks every target how often each non-idempotent request ran, and
 //! counts ids that ran more than once.
 
-mod call;
 mod feed;
-mod row;
+mod report;
+mod request;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 
 use hdrhistogram::Histogram;
 
-pub use row::{Row, print};
+pub use report::{ProfileReport, print};
 
 use crate::script::{self, Step};
 use crate::settings::{ProfileSettings, Service, Settings};
@@ -67,14 +67,14 @@
     let settings = Settings::load(&args.config)?;
     let (rows, changes) = futures_util::join!(
         measure(&settings, &args.load),
-        script::play(&args.load.change, async |action| action.take(&settings).await)
+        script::run(&args.load.change, async |action| action.apply(&settings).await)
     );
     print(&settings.site, &rows);
     changes
 }
 
 /// Drives every profile of the site at once and returns a row each.
-pub async fn measure(settings: &Settings, load: &Load) -> Vec<Row> {
+pub async fn measure(settings: &Settings, load: &Load) -> Vec<ProfileReport> {
     let mut tasks = Vec::new();
     for p in &settings.profiles {
         let (s, l, p) = (settings.clone(), load.clone(), p.clone());
@@ -92,7 +92,7 @@
 /// What one profile's callers have seen so far.
 #[derive(Default)]
 struct Stats {
-    row: Row,
+    row: ProfileReport,
     times: Option<Histogram<u64>>,
     refused: Vec<String>,
     began: Option<Instant>,
@@ -100,7 +100,7 @@
     feeds: HashMap<String, u32>,
 }
 
-async fn profile(settings: &Settings, load: &Load, p: &ProfileSettings) -> Row {
+async fn profile(settings: &Settings, load: &Load, p: &ProfileSettings) -> ProfileReport {
     let stats = Rc::new(RefCell::new(Stats::default()));
     stats.borrow_mut().row.profile = p.name.to_string();
     stats.borrow_mut().times = Histogram::new_with_bounds(1, SLOWEST_US, 3).ok();
@@ -127,8 +127,9 @@
         tokio::time::sleep_until(at.into()).await;
         let (t, addr, svc) = (stats.clone(), p.listen, p.service);
         let id = format!("{}-{i}-{:x}", p.name, rand::random::<u32>());
-        tasks
-            .push(tokio::task::spawn_local(async move { call::request(addr, svc, &id, &t).await }));
+        tasks.push(tokio::task::spawn_local(
+            async move { request::request(addr, svc, &id, &t).await },
+        ));
     }
     for t in tasks {
         let _ = t.await;
@@ -144,9 +145,10 @@
     stats.row.feed_imbalance =
         imbalance(names.iter().map(|t| stats.feeds.get(&*t.name).copied().unwrap_or(0)));
     stats.row.served = stats.requests.iter().map(|(k, v)| (k.clone(), *v)).collect();
-    let runs = call::runs(names.iter().map(|t| t.addr)).await;
-    stats.row.doubled = runs.values().filter(|&&n| n > 1).count() as u32;
-    stats.row.lied = stats.refused.iter().filter(|id| runs.contains_key(*id)).count() as u32;
+    let runs = request::runs(names.iter().map(|t| t.addr)).await;
+    stats.row.duplicated = runs.values().filter(|&&n| n > 1).count() as u32;
+    stats.row.false_refusals =
+        stats.refused.iter().filter(|id| runs.contains_key(*id)).count() as u32;
     stats.row
 }
 
--- a/src/bench/call.rs
+++ b/src/bench/request.rs
@@ -67,7 +67,7 @@
     };
     let text = String::from_utf8_lossy(&bytes);
     if header(&text, "X-Service").is_some_and(|s| s != service.to_string()) {
-        t.row.foreign += 1;
+        t.row.misrouted += 1;
     }
     if text.starts_with("HTTP/1.1 200") {
         t.row.ok += 1;
@@ -76,7 +76,7 @@
             times.saturating_record(micros);
         }
         if !whole(service, id, &text) {
-            t.row.wrong += 1;
+            t.row.corrupted += 1;
         }
         if let Some(name) = header(&text, "X-Target") {
             *t.requests.entry(name.to_string()).or_default() += 1;
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -77,18 +77,18 @@
             ["drain", t] => Self::Drain((*t).into()),
             ["resume", t] => Self::Resume((*t).into()),
             ["limit", p, n] => Self::Limit((*p).into(), n.parse().context("limit")?),
-            ["store", "outage"] => Self::store(|f| f.outage = true),
-            ["store", "ok"] => Self::store(|_| {}),
+            ["store", "outage"] => Self::store_fault(|f| f.outage = true),
+            ["store", "ok"] => Self::store_fault(|_| {}),
             ["store", "slow", ms] => {
                 let ms = ms.parse().context("slow")?;
-                Self::store(|f| f.delay_ms = ms)
+                Self::store_fault(|f| f.delay_ms = ms)
             }
             ["store", "lose", n] => {
                 let n = n.parse().context("lose")?;
-                Self::store(|f| f.lost_responses = n)
+                Self::store_fault(|f| f.lost_responses = n)
             }
-            ["store", "forget"] => Self::store(|f| f.clear_history = true),
-            ["store", "lapse"] => Self::store(|f| f.refuse_keepalives = true),
+            ["store", "forget"] => Self::store_fault(|f| f.clear_history = true),
+            ["store", "lapse"] => Self::store_fault(|f| f.refuse_keepalives = true),
             ["fabric", "lose", n] => Self::Fabric(Faults { lose: n.parse()?, ..Faults::default() }),
             ["fabric", "mute"] => Self::Fabric(Faults { mute: true, ..Faults::default() }),
             ["fabric", "ok"] => Self::Fabric(Faults::default()),
@@ -104,7 +104,7 @@
 
 impl Action {
     /// The store stand-in's faults, changed from none by `set`.
-    pub fn store(set: impl FnOnce(&mut store::Faults)) -> Self {
+    pub fn store_fault(set: impl FnOnce(&mut store::Faults)) -> Self {
         let mut faults = store::Faults::default();
         set(&mut faults);
         Self::Store(faults)
@@ -116,7 +116,7 @@
     ///
     /// Fails when the site does not take it, or when it needs the processes
     /// themselves.
-    pub async fn take(&self, s: &Settings) -> anyhow::Result<()> {
+    pub async fn apply(&self, s: &Settings) -> anyhow::Result<()> {
         match self {
             Self::Drain(t) => ctl::drain(s, t).await,
             Self::Resume(t) => ctl::resume(s, t).await,
@@ -141,7 +141,7 @@
 /// # Errors
 ///
 /// Fails at the first step that fails.
-pub async fn play<T>(steps: &[Step], mut take: T) -> anyhow::Result<()>
+pub async fn run<T>(steps: &[Step], mut take: T) -> anyhow::Result<()>
 where
     T: AsyncFnMut(&Action) -> anyhow::Result<()>,
 {
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -1,84 +1,88 @@
-//! The target stand-in: serves meter, fieldlog, calculadora or validador over
-//! HTTP with `ntex`.
+//! Stand-in for a target: an HTTP server with the endpoints of one service.
 //!
-//! - `GET /feed` (meter, calculadora): a live feed, one line every
-//!   [`FEED_EVERY`], until the caller leaves.
-//! - `POST /pay?id=` (meter) and `POST /check?id=` (validador): runs that are
-//!   not idempotent.
+//! - `GET /feed` (meter, calculadora): an endless stream of numbered lines.
+//! - `POST /pay?id=` (meter) and `POST /check?id=` (validador): non-idempotent requests.
 //! - `GET /quote?w=&id=` (calculadora) and `POST /upload?id=` (fieldlog).
-//! - `GET /runs`: how often each id ran.
-//! - `GET /load` and `GET /health`: what it says of itself, which may be a lie.
-//! - `POST /fault`: sets its [`Faults`].
+//! - `GET /runs`: how often each request id was executed.
+//! - `GET /load` and `GET /health`: load report and health check.
+//! - `POST /fault`: replaces the injected [`Faults`].
 //!
-//! It sheds load above its slots (503 with `Retry-After`), answers slowly for
-//! its cold start, honours an `X-Deadline-Ms` header, and refuses with 421 a
-//! request meant for another service. Every answer names the target in
-//! `X-Target`.
+//! Requests above the slot limit get 503 with `Retry-After`, requests that would exceed
+//! their `X-Deadline-Ms` get 504, and paths of another service get 421. Every response
+//! names the target in `X-Target`.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use futures_util::stream;
+use ntex::http::StatusCode;
 use ntex::util::Bytes;
-use ntex::web::{self, App, HttpRequest, HttpResponse, HttpServer, types::State};
+use ntex::web::{self, App, HttpRequest, HttpResponse, HttpServer};
 use serde::{Deserialize, Serialize};
 
 use crate::events;
 use crate::settings::{Service, Settings, TargetSettings};
 
 /// Time between two lines of a feed.
-pub const FEED_EVERY: Duration = Duration::from_millis(200);
+pub const FEED_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Extra time one request takes during the cold start.
-const COLD_EXTRA: Duration = Duration::from_millis(50);
+/// Additional processing time of a request during the cold start.
+const COLD_START_DELAY: Duration = Duration::from_millis(50);
 
-/// What `GET /load` answers.
+/// Response to `GET /load`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in progress, feeds excluded.
-    pub busy: u32,
+    /// Requests in progress, without feeds.
+    #[serde(rename = "busy")]
+    pub in_progress: u32,
     /// Open feeds.
     pub feeds: u32,
-    /// Requests answered so far, feeds excluded.
+    /// Requests executed so far, without feeds.
     pub served: u64,
 }
 
-/// Faults that a target stand-in can be told to show, with `POST /fault`.
+/// Faults injected into a target stand-in with `POST /fault`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Each request takes this much longer, in milliseconds.
-    pub slow_ms: u64,
-    /// Every request is shed.
-    pub shed: bool,
-    /// `GET /health` says the opposite of the truth, and `GET /load` reports
-    /// nothing in progress.
-    pub lie: bool,
+    /// Additional processing time of each request, in milliseconds.
+    #[serde(rename = "slow_ms")]
+    pub delay_ms: u64,
+    /// Sheds every request.
+    #[serde(rename = "shed")]
+    pub shed_all: bool,
+    /// `GET /health` reports the opposite of the actual health, and `GET /load` reports
+    /// no load.
+    #[serde(rename = "lie")]
+    pub false_reports: bool,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     faults: Faults,
     load: Load,
-    runs: HashMap<String, u32>,
+    /// How often each request id was executed.
+    executions: HashMap<String, u32>,
 }
 
+/// State of the server, shared by all its requests.
 #[derive(Clone)]
-struct Shared {
-    me: TargetSettings,
+struct Server {
+    settings: TargetSettings,
     started: Instant,
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<State>>,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+impl Server {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn answer(&self, status: ntex::http::StatusCode) -> ntex::web::HttpResponseBuilder {
+    fn response(&self, status: StatusCode) -> ntex::web::HttpResponseBuilder {
         let mut b = HttpResponse::build(status);
-        b.header("X-Target", &*self.me.name).header("X-Service", self.me.service.to_string());
+        b.header("X-Target", &*self.settings.name)
+            .header("X-Service", self.settings.service.to_string());
         b
     }
 }
@@ -93,122 +97,138 @@
     )
 }
 
-fn query(req: &HttpRequest, key: &str) -> Option<String> {
+fn query_param(req: &HttpRequest, key: &str) -> Option<String> {
     req.uri().query()?.split('&').find_map(|kv| {
         let (k, v) = kv.split_once('=')?;
         (k == key).then(|| v.to_string())
     })
 }
 
-async fn handle(st: State<Shared>, req: HttpRequest, body: Bytes) -> HttpResponse {
-    use ntex::http::StatusCode as S;
+async fn handle_request(
+    server: web::types::State<Server>,
+    req: HttpRequest,
+    body: Bytes,
+) -> HttpResponse {
     let path = req.path().to_string();
     if path == "/load" {
-        let inner = st.lock();
-        let load = if inner.faults.lie { Load::default() } else { inner.load.clone() };
-        return st.answer(S::OK).json(&load);
+        let state = server.lock();
+        let load = if state.faults.false_reports { Load::default() } else { state.load.clone() };
+        return server.response(StatusCode::OK).json(&load);
     }
     if path == "/health" {
-        let faults = st.lock().faults.clone();
-        let well = faults.shed == faults.lie;
-        return st.answer(if well { S::OK } else { S::SERVICE_UNAVAILABLE }).finish();
+        let faults = server.lock().faults.clone();
+        let reports_healthy = faults.shed_all == faults.false_reports;
+        let status = if reports_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        return server.response(status).finish();
     }
     if path == "/fault" {
         let Ok(faults) = serde_json::from_slice(&body) else {
-            return st.answer(S::BAD_REQUEST).finish();
+            return server.response(StatusCode::BAD_REQUEST).finish();
         };
-        st.lock().faults = faults;
-        return st.answer(S::OK).finish();
+        server.lock().faults = faults;
+        return server.response(StatusCode::OK).finish();
     }
     if path == "/runs" {
-        let runs = st.lock().runs.clone();
-        return st.answer(S::OK).json(&runs);
+        let executions = server.lock().executions.clone();
+        return server.response(StatusCode::OK).json(&executions);
     }
-    if !serves(st.me.service, &path) {
-        log::warn!("{} {} got {path}", events::TARGET_FOREIGN, st.me.name);
-        return st.answer(S::MISDIRECTED_REQUEST).finish();
+    if !serves(server.settings.service, &path) {
+        log::warn!(
+            "{} target {} does not serve {path}; answering 421",
+            events::TARGET_FOREIGN,
+            server.settings.name
+        );
+        return server.response(StatusCode::MISDIRECTED_REQUEST).finish();
     }
     if path == "/feed" {
-        return feed(&st);
+        return stream_feed(&server);
     }
-    let slow = {
-        let mut inner = st.lock();
-        if inner.faults.shed || inner.load.busy >= st.me.slots {
-            return st.answer(S::SERVICE_UNAVAILABLE).header("Retry-After", "1").finish();
+    let injected_delay = {
+        let mut state = server.lock();
+        if state.faults.shed_all || state.load.in_progress >= server.settings.slots {
+            return server
+                .response(StatusCode::SERVICE_UNAVAILABLE)
+                .header("Retry-After", "1")
+                .finish();
         }
-        inner.load.busy += 1;
-        Duration::from_millis(inner.faults.slow_ms)
+        state.load.in_progress += 1;
+        Duration::from_millis(state.faults.delay_ms)
     };
-    let cold = st.started.elapsed() < Duration::from_millis(st.me.cold_ms);
-    let warm = Duration::from_millis(st.me.work_ms);
-    let work = slow + if cold { warm + COLD_EXTRA } else { warm };
+    let is_cold = server.started.elapsed() < Duration::from_millis(server.settings.cold_ms);
+    let warm_time = Duration::from_millis(server.settings.work_ms);
+    let processing_time =
+        injected_delay + if is_cold { warm_time + COLD_START_DELAY } else { warm_time };
     let deadline = req
         .headers()
         .get("X-Deadline-Ms")
         .and_then(|v| v.to_str().ok()?.parse::<u64>().ok())
         .map(Duration::from_millis);
-    if deadline.is_some_and(|d| d < work) {
-        st.lock().load.busy -= 1;
-        return st.answer(S::GATEWAY_TIMEOUT).finish();
+    if deadline.is_some_and(|d| d < processing_time) {
+        server.lock().load.in_progress -= 1;
+        return server.response(StatusCode::GATEWAY_TIMEOUT).finish();
     }
-    tokio::time::sleep(work).await;
-    let mut inner = st.lock();
-    inner.load.busy -= 1;
-    inner.load.served += 1;
-    let id = query(&req, "id").unwrap_or_default();
-    *inner.runs.entry(id.clone()).or_default() += 1;
+    tokio::time::sleep(processing_time).await;
+    let mut state = server.lock();
+    state.load.in_progress -= 1;
+    state.load.served += 1;
+    let id = query_param(&req, "id").unwrap_or_default();
+    *state.executions.entry(id.clone()).or_default() += 1;
     let text = match path.as_str() {
-        "/pay" | "/check" => format!("{} ran {id} on {}\n", &path[1..], st.me.name),
-        "/quote" => format!("rate {} EUR for {id}\n", 1 + query(&req, "w").map_or(0, |w| w.len())),
+        "/pay" | "/check" => format!("{} ran {id} on {}\n", &path[1..], server.settings.name),
+        "/quote" => {
+            format!("rate {} EUR for {id}\n", 1 + query_param(&req, "w").map_or(0, |w| w.len()))
+        }
         _ => format!("stored {} bytes of {id}\n", body.len()),
     };
-    drop(inner);
-    st.answer(S::OK).body(text)
+    drop(state);
+    server.response(StatusCode::OK).body(text)
 }
 
-fn feed(st: &Shared) -> HttpResponse {
-    st.lock().load.feeds += 1;
-    let name = st.me.name.clone();
-    let guard = FeedGuard(st.clone());
+fn stream_feed(server: &Server) -> HttpResponse {
+    server.lock().load.feeds += 1;
+    let name = server.settings.name.clone();
+    let guard = FeedGuard(server.clone());
     let lines = stream::unfold((0u64, guard), move |(n, guard)| {
         let name = name.clone();
         async move {
             if n > 0 {
-                tokio::time::sleep(FEED_EVERY).await;
+                tokio::time::sleep(FEED_INTERVAL).await;
             }
             let line = Bytes::from(format!("{name} {n}\n"));
             Some((Ok::<_, std::io::Error>(line), (n + 1, guard)))
         }
     });
-    st.answer(ntex::http::StatusCode::OK).streaming(Box::pin(lines))
+    server.response(StatusCode::OK).streaming(Box::pin(lines))
 }
 
-/// Counts a feed as open while its stream lives.
-struct FeedGuard(Shared);
+/// Counts the feed as open until its stream is dropped.
+struct FeedGuard(Server);
 
 impl Drop for FeedGuard {
     fn drop(&mut self) {
-        let mut inner = self.0.lock();
-        inner.load.feeds = inner.load.feeds.saturating_sub(1);
+        let mut state = self.0.lock();
+        state.load.feeds = state.load.feeds.saturating_sub(1);
     }
 }
 
-/// Runs the target `name` until the process is told to stop; a stop waits
-/// for requests in progress.
+/// Runs the target `name` until the process is told to stop; requests in progress are
+/// completed first.
 ///
 /// # Errors
 ///
-/// Fails when the target is not in the settings or its address is taken.
+/// Fails if the settings have no such target or its address cannot be bound.
 pub async fn run(settings: &Settings, name: &str) -> anyhow::Result<()> {
-    let me = settings.target(name)?.clone();
-    let addr = me.addr;
-    log::info!("{} target {name} ({}) on {addr}", events::TARGET_START, me.service);
-    let st = Shared { me, started: Instant::now(), inner: Arc::default() };
-    HttpServer::new(async move || App::new().state(st.clone()).default_service(web::to(handle)))
-        .workers(1)
-        .bind(addr)
-        .map_err(|e| anyhow::anyhow!("target {name}: binding {addr}: {e}"))?
-        .run()
-        .await
-        .map_err(|e| anyhow::anyhow!("target {name}: serving {addr}: {e}"))
+    let settings = settings.target(name)?.clone();
+    let addr = settings.addr;
+    log::info!("{} target {name} ({}) on {addr}", events::TARGET_START, settings.service);
+    let server = Server { settings, started: Instant::now(), state: Arc::default() };
+    HttpServer::new(async move || {
+        App::new().state(server.clone()).default_service(web::to(handle_request))
+    })
+    .workers(1)
+    .bind(addr)
+    .map_err(|e| anyhow::anyhow!("target {name}: binding {addr}: {e}"))?
+    .run()
+    .await
+    .map_err(|e| anyhow::anyhow!("target {name}: serving {addr}: {e}"))
 }
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -261,7 +261,7 @@
 
     /// Sends a signal to one process.
     pub fn send(&self, label: &str, signal: Signal) {
-        self.children.send(label, signal);
+        self.children.send_signal(label, signal);
     }
 
     /// The metrics and beliefs address of one process.
@@ -282,7 +282,7 @@
         for t in self.targets {
             t.stop().await;
         }
-        self.children.down().await
+        self.children.stop_all().await
     }
 }
 
--- a/src/up/children.rs
+++ b/src/up/children.rs
@@ -83,7 +83,7 @@
 
     /// Stops every process, at once, and waits for their ends; returns the
     /// labels of those that had to be killed.
-    pub async fn down(mut self) -> Vec<String> {
+    pub async fn stop_all(mut self) -> Vec<String> {
         for (_, child) in &self.list {
             send(child, Signal::SIGTERM);
         }
@@ -103,7 +103,7 @@
 
     /// Sends a signal to one process by label, for example `SIGSTOP` to
     /// freeze it and `SIGCONT` to let it run on.
-    pub fn send(&self, label: &str, sig: Signal) {
+    pub fn send_signal(&self, label: &str, sig: Signal) {
         if let Some((_, child)) = self.list.iter().find(|(l, _)| l == label) {
             send(child, sig);
         }
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -13,10 +13,10 @@
 pub use nix::sys::signal::Signal;
 
 mod children;
-pub mod plan;
+pub mod spec;
 
 pub use children::Children;
-pub use plan::Plan;
+pub use spec::SiteSpec;
 
 use crate::bench;
 use crate::script::{self, Action, Step};
@@ -142,8 +142,8 @@
 
     /// Stops every process, at once, and waits for their ends; returns the
     /// labels of those that had to be killed.
-    pub async fn down(self) -> Vec<String> {
-        self.children.down().await
+    pub async fn shut_down(self) -> Vec<String> {
+        self.children.stop_all().await
     }
 
     /// Takes a scripted action on the site and its processes.
@@ -151,14 +151,14 @@
     /// # Errors
     ///
     /// Fails when the site does not take it.
-    pub async fn take(&mut self, action: &Action) -> anyhow::Result<()> {
+    pub async fn apply(&mut self, action: &Action) -> anyhow::Result<()> {
         match action {
             Action::Kill(p) => self.kill(p),
             Action::Stop(p) => self.stop(p).await,
             Action::Start(p) => self.launch(p)?,
-            Action::Freeze(p) => self.send(p, Signal::SIGSTOP),
-            Action::Thaw(p) => self.send(p, Signal::SIGCONT),
-            _ => action.take(&self.settings).await?,
+            Action::Freeze(p) => self.send_signal(p, Signal::SIGSTOP),
+            Action::Thaw(p) => self.send_signal(p, Signal::SIGCONT),
+            _ => action.apply(&self.settings).await?,
         }
         Ok(())
     }
@@ -168,14 +168,14 @@
     /// # Errors
     ///
     /// Fails at the first step that fails.
-    pub async fn play(&mut self, steps: &[Step]) -> anyhow::Result<()> {
-        script::play(steps, async |action| self.take(action).await).await
+    pub async fn run_script(&mut self, steps: &[Step]) -> anyhow::Result<()> {
+        script::run(steps, async |action| self.apply(action).await).await
     }
 
     /// Sends a signal to one process by label, for example `SIGSTOP` to
     /// freeze it and `SIGCONT` to let it run on.
-    pub fn send(&self, label: &str, sig: Signal) {
-        self.children.send(label, sig);
+    pub fn send_signal(&self, label: &str, sig: Signal) {
+        self.children.send_signal(label, sig);
     }
 
     /// The process id of one process by label.
@@ -212,10 +212,10 @@
         let settings = site.settings.clone();
         let (rows, changes) = futures_util::join!(
             bench::measure(&settings, &args.load),
-            site.play(&args.load.change)
+            site.run_script(&args.load.change)
         );
         bench::print(&settings.site, &rows);
-        site.down().await;
+        site.shut_down().await;
         changes?;
     }
     let _ = std::fs::remove_dir_all(&dir);
--- a/src/up/plan.rs
+++ b/src/up/spec.rs
@@ -7,7 +7,7 @@
 
 /// The size and ports of a small Suryakosh-like site.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct SiteSpec {
     base: u16,
     balancers: u16,
     meters: u16,
@@ -15,7 +15,7 @@
     lease_ms: u64,
 }
 
-impl Plan {
+impl SiteSpec {
     /// A site whose ports start at `base` (it uses `base` to `base + 400`),
     /// with one balancer and one meter target.
     #[must_use]
--- a/tests/balancer_death.rs
+++ b/tests/balancer_death.rs
@@ -21,6 +21,6 @@
         assert_eq!(r.broken, 0, "{r:?}");
         assert_eq!(r.failed, 0, "{r:?}");
         assert_eq!(r.ok, 60, "{r:?}");
-        assert_eq!(r.doubled, 0, "{r:?}");
+        assert_eq!(r.duplicated, 0, "{r:?}");
     }
 }
--- a/tests/balancer_stop.rs
+++ b/tests/balancer_stop.rs
@@ -25,6 +25,6 @@
     for r in &rows {
         assert_eq!(r.broken, 0, "{r:?}");
         assert_eq!(r.ok, 60, "{r:?}");
-        assert_eq!(r.doubled, 0, "{r:?}");
+        assert_eq!(r.duplicated, 0, "{r:?}");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 
 use jujubepost::ctl::fleet;
-use jujubepost::up::{Plan, Site};
+use jujubepost::up::{Site, SiteSpec};
 
 /// The binary under test.
 pub fn exe() -> PathBuf {
@@ -19,7 +19,7 @@
 /// Starts a small site whose ports start at `base`: `lbs` balancers,
 /// `meters` meter targets and `fieldlogs` fieldlog targets.
 pub async fn start(name: &str, base: u16, lbs: u16, meters: u16, fieldlogs: u16) -> Site {
-    let plan = Plan::new(base).balancers(lbs).meters(meters).fieldlogs(fieldlogs);
+    let plan = SiteSpec::new(base).balancers(lbs).meters(meters).fieldlogs(fieldlogs);
     let path = plan.write(name).unwrap();
     Site::start(&exe(), &path).await.unwrap()
 }
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -16,16 +16,16 @@
     let steps =
         ["freeze lb-0", "limit meter 77", "limit meter 78", "store forget", "limit meter 79"];
     for step in steps {
-        site.take(&step.parse().unwrap()).await.unwrap();
+        site.apply(&step.parse().unwrap()).await.unwrap();
     }
     // The suspended balancer's current watch has ended; its next one starts at a
     // revision that is no longer in the history.
-    "store forget".parse::<Action>().unwrap().take(&s).await.unwrap();
-    site.take(&"thaw lb-0".parse().unwrap()).await.unwrap();
+    "store forget".parse::<Action>().unwrap().apply(&s).await.unwrap();
+    site.apply(&"thaw lb-0".parse().unwrap()).await.unwrap();
     fleet::in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
     let status = admin::ask(addr, Duration::from_secs(1)).await.unwrap();
     let relisted = status.counts.iter().any(|c| c.reason == "watch_compacted" && c.value > 0);
     assert!(relisted, "{status:?}");
-    site.down().await;
+    site.shut_down().await;
 }
--- a/tests/dead_side.rs
+++ b/tests/dead_side.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::up::{Plan, Site};
+use jujubepost::up::{Site, SiteSpec};
 
 /// A site whose leases are far longer than the test.
 async fn start(name: &str, base: u16) -> Site {
-    let plan = Plan::new(base).balancers(2).meters(3).fieldlogs(2).lease_ms(60_000);
+    let plan = SiteSpec::new(base).balancers(2).meters(3).fieldlogs(2).lease_ms(60_000);
     let path = plan.write(name).unwrap();
     Site::start(&common::exe(), &path).await.unwrap()
 }
@@ -16,7 +16,7 @@
 async fn all_served(site: &Site) {
     let args = Load { feeds: 4, requests: 60, secs: 3, ..Load::default() };
     for r in bench::measure(&site.settings, &args).await {
-        assert_eq!((r.ok, r.broken, r.doubled, r.wrong), (60, 0, 0, 0), "{r:?}");
+        assert_eq!((r.ok, r.broken, r.duplicated, r.corrupted), (60, 0, 0, 0), "{r:?}");
     }
 }
 
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -16,7 +16,7 @@
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
-    site.send("agent-meter-1", Signal::SIGSTOP);
+    site.send_signal("agent-meter-1", Signal::SIGSTOP);
     // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_none());
@@ -25,7 +25,7 @@
     let meter = rows.iter().find(|r| r.profile == "meter").unwrap();
     assert_eq!(meter.ok, 30, "{meter:?}");
     assert_eq!(meter.served.get("meter-1"), None, "{meter:?}");
-    site.send("agent-meter-1", Signal::SIGCONT);
+    site.send_signal("agent-meter-1", Signal::SIGCONT);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_some());
     let after = Load { feeds: 0, requests: 60, secs: 1, ..Load::default() };
--- a/tests/lossy.rs
+++ b/tests/lossy.rs
@@ -18,7 +18,7 @@
     let rows = bench::measure(&s, &args).await;
     for r in &rows {
         assert_eq!((r.ok, r.refused, r.failed), (100, 0, 0), "{r:?}");
-        assert_eq!((r.broken, r.doubled, r.foreign, r.wrong), (0, 0, 0, 0), "{r:?}");
+        assert_eq!((r.broken, r.duplicated, r.misrouted, r.corrupted), (0, 0, 0, 0), "{r:?}");
     }
 }
 
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use jujubepost::admin;
-use jujubepost::bench::{self, Load, Row};
+use jujubepost::bench::{self, Load, ProfileReport};
 use jujubepost::ctl::{self, Outcome, fleet};
 use jujubepost::script::{Action, Step};
 use jujubepost::settings::Settings;
@@ -104,12 +104,16 @@
         case("agent frozen", None, &["freeze agent-meter-1"], &["thaw agent-meter-1"]),
         planned("target drained", &["drain meter-1"], &["resume meter-1"]),
         case("target killed, cold start", OwnerDies, &["kill meter-1"], &["start meter-1"]),
-        target_fault("target slow", None, target::Faults { slow_ms: 30, ..Default::default() }),
-        target_fault("target sheds", Sheds, target::Faults { shed: true, ..Default::default() }),
+        target_fault("target slow", None, target::Faults { delay_ms: 30, ..Default::default() }),
+        target_fault(
+            "target sheds",
+            Sheds,
+            target::Faults { shed_all: true, ..Default::default() },
+        ),
         target_fault(
             "target sheds and lies",
             Sheds,
-            target::Faults { shed: true, lie: true, ..Default::default() },
+            target::Faults { shed_all: true, false_reports: true, ..Default::default() },
         ),
         Case { on: blind(true), off: blind(false), ..case("uneven updates", None, &[], &[]) },
         case("store down", None, &["store outage"], &["store ok"]),
@@ -181,7 +185,7 @@
 async fn strike(case: &Case, when: When, site: &mut Site) -> Line {
     let s = site.settings.clone();
     for action in &case.before {
-        site.take(action).await.unwrap();
+        site.apply(action).await.unwrap();
     }
     let load = Load { feeds: FEEDS, requests: REQUESTS, secs: 3, ..Load::default() };
     let s2 = s.clone();
@@ -191,7 +195,7 @@
     let mut raced = None;
     if when == When::Change {
         tokio::time::sleep(Duration::from_millis(at)).await;
-        Action::Drain("meter-2".into()).take(&s).await.unwrap();
+        Action::Drain("meter-2".into()).apply(&s).await.unwrap();
         raced = Some(race(&s).await);
     }
     let from = if when == When::Change { 0 } else { at };
@@ -199,15 +203,15 @@
     let steps: Vec<Step> = case.on.iter().map(|a| step(from, a)).collect();
     let ends: Vec<Step> = case.off.iter().map(|a| step(0, a)).collect();
     let start = tokio::time::Instant::now();
-    site.play(&steps).await.unwrap();
+    site.run_script(&steps).await.unwrap();
     tokio::time::sleep_until(start + Duration::from_millis(over)).await;
-    site.play(&ends).await.unwrap();
+    site.run_script(&ends).await.unwrap();
     let rows = run.await.unwrap();
     let in_force = fleet::in_force(&s, IN_FORCE).await;
     let mut leaves = None;
     if when == When::Change {
         leaves = Some(new_work(site, "meter-2").await);
-        Action::Resume("meter-2".into()).take(&s).await.unwrap();
+        Action::Resume("meter-2".into()).apply(&s).await.unwrap();
         fleet::in_force(&s, IN_FORCE).await.unwrap();
     }
     let broken = common::violations(site).await;
@@ -225,25 +229,25 @@
 
 fn judge(
     case: &Case,
-    rows: &[Row],
+    rows: &[ProfileReport],
     broken: u64,
     leaves: Option<u32>,
     raced: Option<[Outcome; 2]>,
     in_force: anyhow::Result<()>,
 ) -> [Cell; 8] {
-    let all = |ok: fn(&Row) -> bool| check(rows.iter().all(ok), || format!("{rows:?}"));
+    let all = |ok: fn(&ProfileReport) -> bool| check(rows.iter().all(ok), || format!("{rows:?}"));
     let none = case.harm == Harm::None;
     let won = raced.is_none_or(|r| r.iter().filter(|o| **o == Outcome::Written).count() == 1);
     [
         if case.harm == Harm::OwnerDies { None } else { all(|r| r.broken == 0) },
-        check(broken == 0 && rows.iter().all(|r| r.foreign == 0), || format!("E999 {broken}")),
+        check(broken == 0 && rows.iter().all(|r| r.misrouted == 0), || format!("E999 {broken}")),
         match case.harm {
-            Harm::None => all(|r| r.wrong == 0 && r.ok == REQUESTS),
-            Harm::Sheds => all(|r| r.wrong == 0 && r.ok + r.shed == REQUESTS),
-            Harm::OwnerDies => all(|r| r.wrong == 0),
+            Harm::None => all(|r| r.corrupted == 0 && r.ok == REQUESTS),
+            Harm::Sheds => all(|r| r.corrupted == 0 && r.ok + r.shed == REQUESTS),
+            Harm::OwnerDies => all(|r| r.corrupted == 0),
         },
-        all(|r| r.lied == 0),
-        all(|r| r.doubled == 0),
+        all(|r| r.false_refusals == 0),
+        all(|r| r.duplicated == 0),
         leaves.map(|n| if n == 0 { Ok(()) } else { Err(format!("{n} new flows")) }),
         if case.planned && none {
             all(|r| r.failed + r.refused + r.shed + r.broken == 0)
@@ -263,7 +267,7 @@
             let name = format!("matrix{worker}-{step}");
             let mut site = common::start(&name, 29_500 + 500 * worker, 3, 3, 2).await;
             let line = strike(&case, when, &mut site).await;
-            let killed = site.down().await;
+            let killed = site.shut_down().await;
             if !killed.is_empty() {
                 println!("{} {when:?}: {killed:?} did not stop in time", case.name);
             }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -15,7 +15,7 @@
         assert_eq!(r.ok, 40, "{r:?}");
         assert_eq!(r.failed + r.refused, 0, "{r:?}");
         assert_eq!(r.broken, 0, "{r:?}");
-        assert_eq!(r.foreign, 0, "{r:?}");
-        assert_eq!(r.doubled, 0, "{r:?}");
+        assert_eq!(r.misrouted, 0, "{r:?}");
+        assert_eq!(r.duplicated, 0, "{r:?}");
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -39,7 +39,7 @@
     let lb = format!("lb-{}", rng.random_range(0..3));
     let target = format!("meter-{}", rng.random_range(1..5));
     let noise = Faults { lose: 20, double: 50, delay: 100, ..Faults::default() };
-    let slow = target::Faults { slow_ms: 20, ..target::Faults::default() };
+    let slow = target::Faults { delay_ms: 20, ..target::Faults::default() };
     let one = |on: &str, off: &str| fault(&[on.to_string()], &[off.to_string()]);
     match rng.random_range(0..14) {
         0 => one(&format!("kill {lb}"), &format!("start {lb}")),
@@ -98,7 +98,7 @@
             for action in &f.on {
                 // An operator's change may meet a store that is down: it is
                 // refused, and that is said.
-                let taken = site.take(action).await.is_ok();
+                let taken = site.apply(action).await.is_ok();
                 story.push(format!("{action:?} taken {taken}"));
             }
             faults.push(f);
@@ -106,7 +106,7 @@
         tokio::time::sleep(Duration::from_millis(rng.random_range(100..700))).await;
         for f in faults.iter().rev() {
             for action in &f.off {
-                let taken = site.take(action).await;
+                let taken = site.apply(action).await;
                 assert!(taken.is_ok(), "seed {seed} round {round} {action:?}: {taken:?}");
             }
         }
@@ -114,7 +114,11 @@
         let at = format!("seed {seed} round {round}: {}", story.join(", "));
         for r in &rows {
             assert_eq!((r.ok, r.broken), (REQUESTS, 0), "{at}: {r:?}");
-            assert_eq!((r.doubled, r.lied, r.foreign, r.wrong), (0, 0, 0, 0), "{at}: {r:?}");
+            assert_eq!(
+                (r.duplicated, r.false_refusals, r.misrouted, r.corrupted),
+                (0, 0, 0, 0),
+                "{at}: {r:?}"
+            );
         }
         let in_force = fleet::in_force(&s, IN_FORCE).await;
         assert!(in_force.is_ok(), "{at}: {in_force:?}");
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -345,5 +345,5 @@
         client.exists("y").await.unwrap_or_else(|e| panic!("has {i}: {e:#}"));
         client.keepalive(lease).await.unwrap_or_else(|e| panic!("keepalive {i}: {e:#}"));
     }
-    children.down().await;
+    children.stop_all().await;
 }
