--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -1,9 +1,8 @@
-//! Scripted changes and faults: what the load tool, the fault matrix and the
-//! random runs do to a site while it carries load.
+//! Scripted operator changes and faults, applied to a site under load.
 //!
-//! A step is written `AT_MS ACTION [ARG]`, for example `1500 drain meter-1`.
-//! A running site takes every action that goes over its interfaces; starting,
-//! ending and freezing processes is left to whoever started them.
+//! A step is written `MS ACTION [ARG]`, for example `1500 drain meter-1`. Actions that
+//! the site accepts over its interfaces work on any running site; those that start,
+//! stop or freeze processes need the parent of the processes.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -16,44 +15,44 @@
 use crate::store;
 use crate::target;
 
-/// How long a process may take to take a fault.
-const ASK: Duration = Duration::from_secs(1);
+/// Timeout of the calls that inject faults.
+const FAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One change or fault.
+/// An operator change, an injected fault or a signal to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Takes a target out of service.
     Drain(String),
-    /// Puts a drained target back.
+    /// Puts a drained target back into service.
     Resume(String),
-    /// Changes the flow limit of a profile by compare-and-swap.
+    /// Changes the flow limit of a profile, by compare-and-swap.
     Limit(String, u32),
-    /// Sets the store stand-in's faults.
+    /// Replaces the faults of the store stand-in.
     Store(store::Faults),
-    /// Sets the fabric stand-in's faults.
+    /// Replaces the faults of the fabric stand-in.
     Fabric(Faults),
-    /// Sets one balancer's faults.
+    /// Replaces the faults of a balancer.
     Balancer(String, Faults),
-    /// Sets one target stand-in's faults.
+    /// Replaces the faults of a target stand-in.
     Target(String, target::Faults),
-    /// Kills a process at once.
+    /// Kills a process (SIGKILL).
     Kill(String),
-    /// Stops a process in order (SIGTERM) and waits for its end.
+    /// Stops a process gracefully (SIGTERM) and waits until it has exited.
     Stop(String),
     /// Starts a process that was killed or stopped.
     Start(String),
-    /// Freezes a process.
+    /// Suspends a process (SIGSTOP).
     Freeze(String),
-    /// Lets a frozen process run on.
+    /// Continues a suspended process (SIGCONT).
     Thaw(String),
 }
 
-/// An action and when to take it.
+/// An action and the time at which it is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Time from the start of the run.
+    /// Time since the start of the script.
     pub at: Duration,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
@@ -62,7 +61,8 @@
 
     fn from_str(text: &str) -> anyhow::Result<Self> {
         let (at, action) = text.trim().split_once(' ').context("script: expected `MS ACTION`")?;
-        let at = at.parse().with_context(|| format!("script: `{at}` is not milliseconds"))?;
+        let at =
+            at.parse().with_context(|| format!("script: `{at}` is not a time in milliseconds"))?;
         let action = action.parse().with_context(|| format!("script: in `{text}`"))?;
         Ok(Self { at: Duration::from_millis(at), action })
     }
@@ -76,15 +76,17 @@
         Ok(match words.as_slice() {
             ["drain", t] => Self::Drain((*t).into()),
             ["resume", t] => Self::Resume((*t).into()),
-            ["limit", p, n] => Self::Limit((*p).into(), n.parse().context("limit")?),
+            ["limit", p, n] => {
+                Self::Limit((*p).into(), n.parse().context("script: `limit` needs a number")?)
+            }
             ["store", "outage"] => Self::store_fault(|f| f.outage = true),
             ["store", "ok"] => Self::store_fault(|_| {}),
             ["store", "slow", ms] => {
-                let ms = ms.parse().context("slow")?;
+                let ms = ms.parse().context("script: `slow` needs a number")?;
                 Self::store_fault(|f| f.delay_ms = ms)
             }
             ["store", "lose", n] => {
-                let n = n.parse().context("lose")?;
+                let n = n.parse().context("script: `lose` needs a number")?;
                 Self::store_fault(|f| f.lost_responses = n)
             }
             ["store", "forget"] => Self::store_fault(|f| f.clear_history = true),
@@ -103,52 +105,53 @@
 }
 
 impl Action {
-    /// The store stand-in's faults, changed from none by `set`.
+    /// Replaces the faults of the store stand-in by the default (no fault), modified by
+    /// `set`.
     pub fn store_fault(set: impl FnOnce(&mut store::Faults)) -> Self {
         let mut faults = store::Faults::default();
         set(&mut faults);
         Self::Store(faults)
     }
 
-    /// Takes the action on a running site, over its interfaces only.
+    /// Applies the action to a running site over its interfaces.
     ///
     /// # Errors
     ///
-    /// Fails when the site does not take it, or when it needs the processes
-    /// themselves.
+    /// Fails if the site rejects the action or cannot be reached, and for actions on
+    /// processes, which only [`Site::apply`](crate::up::Site::apply) supports.
     pub async fn apply(&self, s: &Settings) -> anyhow::Result<()> {
         match self {
             Self::Drain(t) => ctl::drain(s, t).await,
             Self::Resume(t) => ctl::resume(s, t).await,
             Self::Limit(profile, flows) => ctl::limit(s, profile, *flows).await,
             Self::Store(faults) => ctl::fault(s, faults).await,
-            Self::Fabric(faults) => disturb(s.fabric.addr, faults).await,
-            Self::Balancer(name, faults) => disturb(s.balancer(name)?.addr, faults).await,
+            Self::Fabric(faults) => inject_faults(s.fabric.addr, faults).await,
+            Self::Balancer(name, faults) => inject_faults(s.balancer(name)?.addr, faults).await,
             Self::Target(name, faults) => faults::post(s.target(name)?.addr, faults).await,
             Self::Kill(p) | Self::Stop(p) | Self::Start(p) | Self::Freeze(p) | Self::Thaw(p) => {
-                bail!("script: only `up` can do that to process {p}")
+                bail!("script: process {p} can only be signalled or started by `up`")
             }
         }
     }
 }
 
-async fn disturb(addr: std::net::SocketAddr, faults: &Faults) -> anyhow::Result<()> {
-    Peer::connect(addr, ASK).await?.disturb(faults.clone()).await
+async fn inject_faults(addr: std::net::SocketAddr, faults: &Faults) -> anyhow::Result<()> {
+    Peer::connect(addr, FAULT_TIMEOUT).await?.disturb(faults.clone()).await
 }
 
-/// Has `take` take each step's action at its time.
+/// Calls `apply` with the action of each step at its time. Steps are in order of time.
 ///
 /// # Errors
 ///
-/// Fails at the first step that fails.
-pub async fn run<T>(steps: &[Step], mut take: T) -> anyhow::Result<()>
+/// Returns the first error of `apply`; later steps are skipped.
+pub async fn run<T>(steps: &[Step], mut apply: T) -> anyhow::Result<()>
 where
     T: AsyncFnMut(&Action) -> anyhow::Result<()>,
 {
     let start = tokio::time::Instant::now();
     for step in steps {
         tokio::time::sleep_until(start + step.at).await;
-        take(&step.action).await?;
+        apply(&step.action).await?;
     }
     Ok(())
 }
--- a/src/up/children.rs
+++ b/src/up/children.rs
@@ -1,5 +1,5 @@
-//! Labelled processes of this binary: started with a log file each, signalled
-//! and joined.
+//! Child processes of this binary, identified by a label: started with a log file each,
+//! signalled, and stopped when dropped.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -9,31 +9,31 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// How long a stopping process may take before it is killed.
-const STOP: Duration = Duration::from_secs(10);
+/// How long a process may take to stop after SIGTERM before it is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a stopping process is looked at.
-const REAP_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a stopping process is polled for its exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The processes of one run, joined on drop.
+/// Labelled child processes; dropping it stops them and waits for their exit.
 #[derive(Debug)]
 pub struct Children {
     exe: PathBuf,
-    list: Vec<(String, Child)>,
+    processes: Vec<(String, Child)>,
 }
 
 impl Children {
-    /// No processes yet, of the binary `exe`.
+    /// Creates an empty set of processes that will run the binary `exe`.
     #[must_use]
     pub fn new(exe: &Path) -> Self {
-        Self { exe: exe.to_path_buf(), list: Vec::new() }
+        Self { exe: exe.to_path_buf(), processes: Vec::new() }
     }
 
-    /// Starts one with `args`; what it writes goes to the end of `log`.
+    /// Starts a process with `args` and appends its output to the file `log`.
     ///
     /// # Errors
     ///
-    /// Fails when the log cannot be opened or the process not be started.
+    /// Fails if the log cannot be opened or the process cannot be started.
     pub fn spawn(&mut self, label: &str, args: &[&str], log: &Path) -> anyhow::Result<()> {
         let file = std::fs::File::options().create(true).append(true).open(log);
         let file = file.with_context(|| format!("up: opening {}", log.display()))?;
@@ -45,55 +45,55 @@
             .stderr(file)
             .spawn()
             .with_context(|| format!("up: starting {label}"))?;
-        self.list.push((label.to_string(), child));
+        self.processes.push((label.to_string(), child));
         Ok(())
     }
 
-    /// Fails when a process has ended by itself, as one does whose address is
-    /// taken.
+    /// Checks that no process has exited, as one does whose address is in use.
     ///
     /// # Errors
     ///
-    /// Names the process.
+    /// Returns an error that names the first process that has exited.
     pub fn check_alive(&mut self) -> anyhow::Result<()> {
-        for (label, child) in &mut self.list {
-            if !runs(child) {
-                bail!("up: {label} ended at its start; see its log");
+        for (label, child) in &mut self.processes {
+            if !is_running(child) {
+                bail!("up: process {label} exited early; see its log");
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, label: &str) -> Option<Child> {
-        let i = self.list.iter().position(|(l, _)| l == label)?;
-        Some(self.list.remove(i).1)
+    fn remove(&mut self, label: &str) -> Option<Child> {
+        let i = self.processes.iter().position(|(l, _)| l == label)?;
+        Some(self.processes.remove(i).1)
     }
 
-    /// Stops one process by label (SIGTERM) and waits for its end.
+    /// Stops a process gracefully (SIGTERM) and waits until it has exited; kills it after
+    /// a timeout.
     pub async fn stop(&mut self, label: &str) {
-        let Some(mut child) = self.take(label) else { return };
-        send(&child, Signal::SIGTERM);
-        let deadline = Instant::now() + STOP;
-        while Instant::now() < deadline && runs(&mut child) {
-            tokio::time::sleep(REAP_POLL).await;
+        let Some(mut child) = self.remove(label) else { return };
+        signal_child(&child, Signal::SIGTERM);
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while Instant::now() < deadline && is_running(&mut child) {
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Stops every process, at once, and waits for their ends; returns the
-    /// labels of those that had to be killed.
+    /// Stops all processes gracefully and in parallel, and waits until they have exited.
+    /// Returns the labels of those that had to be killed after a timeout.
     pub async fn stop_all(mut self) -> Vec<String> {
-        for (_, child) in &self.list {
-            send(child, Signal::SIGTERM);
+        for (_, child) in &self.processes {
+            signal_child(child, Signal::SIGTERM);
         }
-        let deadline = Instant::now() + STOP;
-        while Instant::now() < deadline && self.list.iter_mut().any(|(_, c)| runs(c)) {
-            tokio::time::sleep(REAP_POLL).await;
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while Instant::now() < deadline && self.processes.iter_mut().any(|(_, c)| is_running(c)) {
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
         let mut killed = Vec::new();
-        for (label, child) in &mut self.list {
-            if runs(child) {
+        for (label, child) in &mut self.processes {
+            if is_running(child) {
                 let _ = child.kill();
                 killed.push(label.clone());
             }
@@ -101,47 +101,46 @@
         killed
     }
 
-    /// Sends a signal to one process by label, for example `SIGSTOP` to
-    /// freeze it and `SIGCONT` to let it run on.
+    /// Sends a signal to a process, for example `SIGSTOP` to suspend it.
     pub fn send_signal(&self, label: &str, sig: Signal) {
-        if let Some((_, child)) = self.list.iter().find(|(l, _)| l == label) {
-            send(child, sig);
+        if let Some((_, child)) = self.processes.iter().find(|(l, _)| l == label) {
+            signal_child(child, sig);
         }
     }
 
-    /// The process id of one process by label.
+    /// Returns the process id of a process.
     #[must_use]
     pub fn pid(&self, label: &str) -> Option<u32> {
-        self.list.iter().find(|(l, _)| l == label).map(|(_, c)| c.id())
+        self.processes.iter().find(|(l, _)| l == label).map(|(_, c)| c.id())
     }
 
-    /// Kills one process by label at once (SIGKILL), then reaps it.
+    /// Kills a process (SIGKILL) and waits until it has exited.
     pub fn kill(&mut self, label: &str) {
-        if let Some(mut child) = self.take(label) {
+        if let Some(mut child) = self.remove(label) {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-fn runs(child: &mut Child) -> bool {
+fn is_running(child: &mut Child) -> bool {
     matches!(child.try_wait(), Ok(None))
 }
 
-fn send(child: &Child, sig: Signal) {
+fn signal_child(child: &Child, sig: Signal) {
     if let Ok(pid) = i32::try_from(child.id()) {
         let _ = kill(Pid::from_raw(pid), sig);
     }
 }
 
-/// Waits for a child that was told to stop; kills it after [`STOP`].
-fn reap(child: &mut Child) {
-    let deadline = Instant::now() + STOP;
+/// Waits for a process that was sent SIGTERM; kills it after [`STOP_TIMEOUT`].
+fn wait_or_kill(child: &mut Child) {
+    let deadline = Instant::now() + STOP_TIMEOUT;
     while Instant::now() < deadline {
-        if !runs(child) {
+        if !is_running(child) {
             return;
         }
-        std::thread::sleep(REAP_POLL);
+        std::thread::sleep(EXIT_POLL_INTERVAL);
     }
     let _ = child.kill();
     let _ = child.wait();
@@ -149,12 +148,12 @@
 
 impl Drop for Children {
     fn drop(&mut self) {
-        // Every process is told at once, then each is joined.
-        for (_, child) in &self.list {
-            send(child, Signal::SIGTERM);
+        // All processes are signalled first, so that they stop in parallel.
+        for (_, child) in &self.processes {
+            signal_child(child, Signal::SIGTERM);
         }
-        for (_, child) in &mut self.list {
-            reap(child);
+        for (_, child) in &mut self.processes {
+            wait_or_kill(child);
         }
     }
 }
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -1,10 +1,8 @@
-//! Runs whole sites on one machine: every role as its own process of this
-//! binary, then a bench run, then a graceful stop of every process.
+//! Runs whole sites on one machine, for trials and tests: each role as a process of
+//! this binary, then a load run, then a graceful stop of all processes.
 //!
-//! This is for trying jujubepost out and for tests; a production process
-//! starts no other process. With no `--config`, it runs the two embedded
-//! example sites, Suryakosh (gjw) and the Asociación (norte). Each process
-//! logs to a file beside the settings file.
+//! Without `--config` it runs the two embedded example sites. Each process logs to a
+//! file beside the settings file.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -23,42 +21,41 @@
 use crate::settings::Settings;
 use crate::store::{self, KeyLayout, Kv};
 
-/// The embedded Suryakosh example.
+/// Settings of the embedded example site `suryakosh`.
 pub const SURYAKOSH: &str = include_str!("../../examples/suryakosh.jsonc");
-/// The embedded Asociación example.
+/// Settings of the embedded example site `norte`.
 pub const NORTE: &str = include_str!("../../examples/norte.jsonc");
 
-/// How long a site may take to come up.
-const READY: Duration = Duration::from_secs(20);
+/// How long a site may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Arguments of `jujubepost up`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Settings files of the sites; the embedded examples when none.
+    /// Settings file of a site; may be repeated. Without it, the embedded examples run.
     #[arg(long)]
     pub config: Vec<PathBuf>,
-    /// The load, whose changes may also start, end and freeze processes.
+    /// The load; its changes may also start, stop and freeze processes.
     #[command(flatten)]
     pub load: bench::Load,
 }
 
-/// A running site: its processes, joined on drop.
+/// A running site; dropping it stops its processes and waits for their exit.
 pub struct Site {
-    /// The site's settings.
+    /// Settings of the site.
     pub settings: Settings,
-    /// The settings file its processes read.
+    /// Settings file that its processes read.
     pub path: PathBuf,
     children: Children,
 }
 
 impl Site {
-    /// Starts every process of the site from the binary `exe` and waits
-    /// until each target and balancer is announced and every profile is
-    /// written.
+    /// Starts all processes of the site from the binary `exe`, then waits until all
+    /// profiles are written and all targets and balancers are announced.
     ///
     /// # Errors
     ///
-    /// Fails when a process cannot start or the site is not up in time.
+    /// Fails if a process cannot be started or the site is not ready in time.
     pub async fn start(exe: &Path, path: &Path) -> anyhow::Result<Self> {
         let settings = Settings::load(path)?;
         let targets = settings.targets.iter().map(|t| t.name.to_string());
@@ -71,33 +68,32 @@
             site.launch(label)?;
         }
         site.spawn("fabric", &["fabric"])?;
-        site.ready().await?;
+        site.wait_until_ready().await?;
         Ok(site)
     }
 
-    /// Where the process `label` logs.
-    fn log(&self, label: &str) -> PathBuf {
+    fn log_path(&self, label: &str) -> PathBuf {
         self.path.with_file_name(format!("{}-{label}.log", self.settings.site))
     }
 
     fn spawn(&mut self, label: &str, args: &[&str]) -> anyhow::Result<()> {
-        let (role, rest) = args.split_first().context("up: no role")?;
-        let log = self.log(label);
+        let (role, rest) = args.split_first().context("up: the arguments name no role")?;
+        let log_path = self.log_path(label);
         let config = self.path.display().to_string();
         let args: Vec<&str> =
             [role, "--config", &config].into_iter().chain(rest.iter().copied()).collect();
-        self.children.spawn(label, &args, &log)
+        self.children.spawn(label, &args, &log_path)
     }
 
-    async fn ready(&mut self) -> anyhow::Result<()> {
+    async fn wait_until_ready(&mut self) -> anyhow::Result<()> {
         let s = self.settings.clone();
         let store = store::Client::new(s.store.addr, Duration::from_millis(500)).await;
         let keys = KeyLayout::new(s.store.prefix.clone());
-        let deadline = Instant::now() + READY;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             self.children.check_alive()?;
             if Instant::now() > deadline {
-                bail!("up: site {} not up within {READY:?}", s.site);
+                bail!("up: site {} not ready within {READY_TIMEOUT:?}", s.site);
             }
             if crate::ctl::apply(&store, &keys, &s.profiles).await.is_ok()
                 && let Ok((_, kvs)) = store.list(&keys.root_prefix()).await
@@ -108,7 +104,7 @@
                 };
                 let (targets, balancers) = (count("targets"), count("balancers"));
                 if targets == s.targets.len() && balancers == s.balancers.len() {
-                    // Let the balancers' watches catch up.
+                    // The balancers learn of the same keys a little later, through their watches.
                     tokio::time::sleep(Duration::from_millis(500)).await;
                     return Ok(());
                 }
@@ -117,18 +113,18 @@
         }
     }
 
-    /// Stops one process by label (SIGTERM) and waits for its end.
+    /// Stops a process gracefully (SIGTERM) and waits until it has exited.
     pub async fn stop(&mut self, label: &str) {
         self.children.stop(label).await;
     }
 
-    /// Starts a process of the settings by its label: a balancer's or a
-    /// target's name, or `agent-` and a target's name. Its log goes to
-    /// `<site>-<label>.log` beside the settings file.
+    /// Starts a process of the site by its label: the name of a balancer or a target, or
+    /// `agent-` and the name of a target. It logs to `<site>-<label>.log` beside the
+    /// settings file.
     ///
     /// # Errors
     ///
-    /// Fails when the label names none, or the process cannot be started.
+    /// Fails if the settings have no such process or it cannot be started.
     pub fn launch(&mut self, label: &str) -> anyhow::Result<()> {
         if self.settings.balancer(label).is_ok() {
             self.spawn(label, &["balancer", "--name", label])
@@ -140,17 +136,17 @@
         }
     }
 
-    /// Stops every process, at once, and waits for their ends; returns the
-    /// labels of those that had to be killed.
+    /// Stops all processes gracefully and in parallel, and waits until they have exited.
+    /// Returns the labels of those that had to be killed after a timeout.
     pub async fn shut_down(self) -> Vec<String> {
         self.children.stop_all().await
     }
 
-    /// Takes a scripted action on the site and its processes.
+    /// Applies a scripted action to the site or one of its processes.
     ///
     /// # Errors
     ///
-    /// Fails when the site does not take it.
+    /// Fails if the site rejects the action or a process cannot be started.
     pub async fn apply(&mut self, action: &Action) -> anyhow::Result<()> {
         match action {
             Action::Kill(p) => self.kill(p),
@@ -163,46 +159,46 @@
         Ok(())
     }
 
-    /// Takes each step at its time.
+    /// Applies the action of each step at its time.
     ///
     /// # Errors
     ///
-    /// Fails at the first step that fails.
+    /// Returns the error of the first action that fails; later steps are skipped.
     pub async fn run_script(&mut self, steps: &[Step]) -> anyhow::Result<()> {
         script::run(steps, async |action| self.apply(action).await).await
     }
 
-    /// Sends a signal to one process by label, for example `SIGSTOP` to
-    /// freeze it and `SIGCONT` to let it run on.
+    /// Sends a signal to a process, for example `SIGSTOP` to suspend it.
     pub fn send_signal(&self, label: &str, sig: Signal) {
         self.children.send_signal(label, sig);
     }
 
-    /// The process id of one process by label.
+    /// Returns the process id of a process.
     #[must_use]
     pub fn pid(&self, label: &str) -> Option<u32> {
         self.children.pid(label)
     }
 
-    /// Kills one process by label at once (SIGKILL), then reaps it.
+    /// Kills a process (SIGKILL) and waits until it has exited.
     pub fn kill(&mut self, label: &str) {
         self.children.kill(label);
     }
 }
 
-/// Runs each site, benches it, prints what was served and stops it.
+/// Runs the sites one after the other: starts each, puts load on it, prints the reports
+/// and stops it.
 ///
 /// # Errors
 ///
-/// Fails when a site cannot start.
+/// Fails if a site cannot be started or a scripted change fails.
 pub async fn run(args: Args) -> anyhow::Result<()> {
     let mut paths = args.config.clone();
     let dir = std::env::temp_dir().join(format!("jujubepost-up-{}", std::process::id()));
     if paths.is_empty() {
-        std::fs::create_dir_all(&dir).context("up: making a temporary folder")?;
+        std::fs::create_dir_all(&dir).context("up: creating a temporary folder")?;
         for (name, text) in [("suryakosh.jsonc", SURYAKOSH), ("norte.jsonc", NORTE)] {
             let p = dir.join(name);
-            std::fs::write(&p, text).context("up: writing an example")?;
+            std::fs::write(&p, text).context("up: writing the example settings")?;
             paths.push(p);
         }
     }
@@ -210,11 +206,11 @@
     for path in &paths {
         let mut site = Site::start(&exe, path).await?;
         let settings = site.settings.clone();
-        let (rows, changes) = futures_util::join!(
+        let (reports, changes) = futures_util::join!(
             bench::measure(&settings, &args.load),
             site.run_script(&args.load.change)
         );
-        bench::print(&settings.site, &rows);
+        bench::print(&settings.site, &reports);
         site.shut_down().await;
         changes?;
     }
