--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,9 +1,8 @@
-//! The balancer's view of a fleet on the platform: time to read the store's
-//! keys at first, after one agent's entry changed and after the configuration
-//! changed, in full and in parts, and the memory that the copy and the view
-//! take.
+//! Measures the cost of the store's keys on a balancer as the platform grows: the time
+//! to apply a first snapshot, a change of one agent's entry and a change of the
+//! configuration, whole and in parts, and the memory of the snapshot and the state.
 //!
-//! `cargo run --release --example fleet`
+//! Run: `cargo run --release --example fleet`.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +14,7 @@
 use jujubepost::store::{Change, Kv, Snapshot};
 use serde_json::json;
 
-/// Sizes as agents and routes, up to the two-year size.
+/// Numbers of agents and routes.
 const SIZES: [(u32, u32); 4] = [(250, 25), (2_500, 240), (10_000, 960), (23_000, 2_200)];
 
 fn rss_kib() -> u64 {
@@ -56,39 +55,39 @@
     Kv { key: config::CONFIG_KEY.into(), value, rev: version, lease: 0 }
 }
 
-/// What a relay writes when one route's time limit changes, as the changed
-/// keys, their bytes in base64 and the time to read them.
-fn in_parts(config: &Kv) -> (usize, usize, Duration) {
+/// Changes the timeout of one route in a configuration that is relayed in parts. Returns
+/// the number of changed keys, their size in base64 and the time to apply them.
+fn measure_parts(config: &Kv) -> (usize, usize, Duration) {
     let relay = Relay::new(config::CONFIG_KEY, "zone-1", [10, 9, 0, 1].into(), 1);
     let mut routes = config::decode(&config.value).unwrap();
-    let mut steer = steer();
+    let mut steering = new_steering();
     let mut reader = SnapshotReader::default();
-    let mut copy = Snapshot::default();
-    copy.apply(1, vec![Change::Put(config.clone())]);
+    let mut snapshot = Snapshot::default();
+    snapshot.apply(1, vec![Change::Put(config.clone())]);
     let mut last = (0, 0, Duration::ZERO);
     for rev in 2..7 {
         routes.version += 1;
         let route = routes.by_address.values_mut().next().unwrap();
         route.request_timeout = Duration::from_millis(1_000 + u64::try_from(rev).unwrap());
-        let put = relay.pending_transaction(&copy, &routes).unwrap().unwrap().puts;
-        let bytes = put.iter().map(|(_, value)| value.len().div_ceil(3) * 4).sum();
-        let keys = put.len();
-        let put = put
+        let puts = relay.pending_transaction(&snapshot, &routes).unwrap().unwrap().puts;
+        let bytes = puts.iter().map(|(_, value)| value.len().div_ceil(3) * 4).sum();
+        let keys = puts.len();
+        let changes = puts
             .into_iter()
             .map(|(key, value)| Change::Put(Kv { key: key.into(), value, rev, lease: 0 }));
-        copy.apply(rev, put.collect());
-        last = (keys, bytes, time(|| reader.apply_snapshot(&mut steer, &copy)));
+        snapshot.apply(rev, changes.collect());
+        last = (keys, bytes, time_of(|| reader.apply_snapshot(&mut steering, &snapshot)));
     }
     last
 }
 
-fn steer() -> FlowSteering {
+fn new_steering() -> FlowSteering {
     FlowSteering::new("10.9.0.1:7720".parse().unwrap(), "zone-1".into(), Duration::from_secs(60))
 }
 
-fn time(mut run: impl FnMut()) -> Duration {
+fn time_of(mut action: impl FnMut()) -> Duration {
     let start = Instant::now();
-    run();
+    action();
     start.elapsed()
 }
 
@@ -99,38 +98,39 @@
     );
     for (agents, routes) in SIZES {
         let before = rss_kib();
-        let mut copy = Snapshot::default();
+        let mut snapshot = Snapshot::default();
         let first = configuration(routes, 1);
-        let bytes = first.value.len() / 1_024;
-        copy.apply(1, vec![Change::Put(first)]);
-        copy.apply(2, (0..agents).map(|n| Change::Put(agent(n, routes, 2))).collect());
-        let mut steer = steer();
+        let config_kib = first.value.len() / 1_024;
+        snapshot.apply(1, vec![Change::Put(first)]);
+        snapshot.apply(2, (0..agents).map(|n| Change::Put(agent(n, routes, 2))).collect());
+        let mut steering = new_steering();
         let mut reader = SnapshotReader::default();
-        let at_first = time(|| reader.apply_snapshot(&mut steer, &copy));
-        let mut kept = Arc::new(copy.clone());
-        let taken = rss_kib().saturating_sub(before);
+        let first_time = time_of(|| reader.apply_snapshot(&mut steering, &snapshot));
+        let mut published = Arc::new(snapshot.clone());
+        let memory_kib = rss_kib().saturating_sub(before);
         let mut rev = 2;
-        let mut changed = |change: Kv| {
+        let mut time_change = |change: Kv| {
             rev = change.rev;
-            copy.apply(rev, vec![Change::Put(change)]);
-            time(|| {
-                reader.apply_snapshot(&mut steer, &copy);
-                kept = Arc::new(copy.clone());
+            snapshot.apply(rev, vec![Change::Put(change)]);
+            time_of(|| {
+                reader.apply_snapshot(&mut steering, &snapshot);
+                published = Arc::new(snapshot.clone());
             })
         };
-        let entry: Duration = (3..13).map(|r| changed(agent(7, routes, r))).sum::<Duration>() / 10;
-        let config: Duration =
-            (13..18).map(|r| changed(configuration(routes, r))).sum::<Duration>() / 5;
-        let (keys, changed, read) = in_parts(&configuration(routes, 1));
+        let entry_time: Duration =
+            (3..13).map(|r| time_change(agent(7, routes, r))).sum::<Duration>() / 10;
+        let config_time: Duration =
+            (13..18).map(|r| time_change(configuration(routes, r))).sum::<Duration>() / 5;
+        let (part_keys, part_bytes, part_time) = measure_parts(&configuration(routes, 1));
         println!(
-            "{agents:6}  {routes:6}  {:8.1}  {:12.1}  {:20.1}  {bytes:10}  {taken:6}  {keys:10}  \
-             {:9.1}  {:8.2}",
-            at_first.as_secs_f64() * 1e3,
-            entry.as_secs_f64() * 1e3,
-            config.as_secs_f64() * 1e3,
-            changed as f64 / 1_024.0,
-            read.as_secs_f64() * 1e3,
+            "{agents:6}  {routes:6}  {:8.1}  {:12.1}  {:20.1}  {config_kib:10}  {memory_kib:6}  \
+             {part_keys:10}  {:9.1}  {:8.2}",
+            first_time.as_secs_f64() * 1e3,
+            entry_time.as_secs_f64() * 1e3,
+            config_time.as_secs_f64() * 1e3,
+            part_bytes as f64 / 1_024.0,
+            part_time.as_secs_f64() * 1e3,
         );
-        drop(kept);
+        drop(published);
     }
 }
--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -1,8 +1,8 @@
-//! What one packet costs a balancer and an agent: their decisions with the
-//! codec around them, and beside them the decision of the product's own
-//! interface. No sockets. Prints nanoseconds per packet, the median of runs.
+//! Measures the processor time per packet of a balancer and an agent, decision and codec
+//! without sockets: on the platform's packet interface, and for the balancer also on
+//! jujubepost's own. Prints the median in nanoseconds.
 //!
-//! `cargo run --release --example packet`
+//! Run: `cargo run --release --example packet`.
 
 use std::collections::{HashMap, HashSet};
 use std::hint::black_box;
@@ -20,44 +20,45 @@
 use jujubepost::tracker::{self, FlowTracker, Report, TargetState};
 use jujubepost::wire::{self, Owner, Packet, PacketKind};
 
+/// Runs of which the median is printed.
 const RUNS: usize = 9;
 const FLOWS: u16 = 10_000;
-const DATA: usize = 1_200;
+const DATA_BYTES: usize = 1_200;
 
-/// Encodes what would be sent, and drops it.
+/// Encodes messages instead of sending them.
 #[derive(Default)]
-struct Encode {
+struct EncodeOnly {
     buf: Vec<u8>,
-    sent: u64,
+    bytes: u64,
 }
 
-impl steering::Transmit for Encode {
+impl steering::Transmit for EncodeOnly {
     fn send_to_agent(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         protocol::encode(message, packet, &mut self.buf).unwrap();
-        self.sent += black_box(self.buf.len()) as u64;
+        self.bytes += black_box(self.buf.len()) as u64;
     }
 
     fn send_reset(&mut self, _: Flow, _: u32) {}
 }
 
-impl tracker::Transmit for Encode {
+impl tracker::Transmit for EncodeOnly {
     fn send_to_target(&mut self, packet: &[u8]) {
-        self.sent += black_box(packet.len()) as u64;
+        self.bytes += black_box(packet.len()) as u64;
     }
 
     fn send_to_caller(&mut self, _: SocketAddrV4, packet: &[u8]) {
-        self.sent += black_box(packet.len()) as u64;
+        self.bytes += black_box(packet.len()) as u64;
     }
 
     fn send_reset(&mut self, _: Flow, _: u32) {}
 
     fn send_message(&mut self, _: SocketAddrV4, message: &Message<'_>, packet: &[u8]) {
         protocol::encode(message, packet, &mut self.buf).unwrap();
-        self.sent += black_box(self.buf.len()) as u64;
+        self.bytes += black_box(self.buf.len()) as u64;
     }
 }
 
-fn addr(n: u8) -> SocketAddrV4 {
+fn agent_addr(n: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, n), 7_720)
 }
 
@@ -72,123 +73,133 @@
 fn datagram(port: u16, syn: bool) -> Vec<u8> {
     let f = flow(port);
     let flags = Flags { syn, ack: !syn, ..Flags::default() };
-    let data = vec![7; if syn { 0 } else { DATA }];
+    let data = vec![7; if syn { 0 } else { DATA_BYTES }];
     let len = data.len() as u16;
     let seg = Segment { src: f.caller, dst: f.vip, flags, seq: 1, ack: 1, len };
     packet::encode(&seg, &data)
 }
 
-fn median(mut run: impl FnMut() -> Duration) -> f64 {
+/// Returns the median time of `run` per flow, in nanoseconds.
+fn median_ns(mut run: impl FnMut() -> Duration) -> f64 {
     let mut times: Vec<f64> =
         (0..RUNS).map(|_| run().as_nanos() as f64 / f64::from(FLOWS)).collect();
     times.sort_by(f64::total_cmp);
     times[RUNS / 2]
 }
 
-fn steer_with_flows(packets: &[Vec<u8>]) -> FlowSteering {
+/// Creates the state of a balancer that knows all flows from their opens.
+fn steering_with_flows(packets: &[Vec<u8>]) -> FlowSteering {
     let now = Instant::now();
-    let mut s = FlowSteering::new(addr(200), "a".into(), Duration::from_secs(60));
-    let share = WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 };
-    let route =
-        Route { name: "r".into(), services: vec![share], request_timeout: Duration::from_secs(3) };
-    let idle = Duration::from_secs(15);
-    s.apply_routes(Routes { version: 1, by_address: [(vip(), route)].into(), idle_timeout: idle });
+    let mut steering = FlowSteering::new(agent_addr(200), "a".into(), Duration::from_secs(60));
+    let weighted = WeightedService { service: "meter".into(), weight: 1, max_flows: 2_000 };
+    let route = Route {
+        name: "r".into(),
+        services: vec![weighted],
+        request_timeout: Duration::from_secs(3),
+    };
+    let idle_timeout = Duration::from_secs(15);
+    steering.apply_routes(Routes { version: 1, by_address: [(vip(), route)].into(), idle_timeout });
     let agents: Vec<ListedAgent> = (1..=10)
         .map(|n| ListedAgent {
-            addr: addr(n),
+            addr: agent_addr(n),
             zone: "a".into(),
             service: "meter".into(),
             target: None,
         })
         .collect();
-    s.roster.update(&agents, now);
-    let mut out = Encode::default();
+    steering.roster.update(&agents, now);
+    let mut out = EncodeOnly::default();
     for (port, p) in (1..=FLOWS).zip(packets) {
-        s.handle_packet(&packet::decode(p).unwrap(), p, now, &mut out);
-        let note = FlowUpdate { flow: flow(port), status: FlowStatus::Held, load: 0 };
-        s.handle_note(addr(1), note, now, &mut out);
+        steering.handle_packet(&packet::decode(p).unwrap(), p, now, &mut out);
+        let update = FlowUpdate { flow: flow(port), status: FlowStatus::Held, load: 0 };
+        steering.handle_note(agent_addr(1), update, now, &mut out);
     }
-    s
+    steering
 }
 
 fn main() {
     let opens: Vec<_> = (1..=FLOWS).map(|p| datagram(p, true)).collect();
     let data: Vec<_> = (1..=FLOWS).map(|p| datagram(p, false)).collect();
 
-    let mut s = steer_with_flows(&opens);
-    let mut out = Encode::default();
-    let forwarded = median(|| {
+    let mut steering = steering_with_flows(&opens);
+    let mut out = EncodeOnly::default();
+    let forward_ns = median_ns(|| {
         let start = Instant::now();
         for p in &data {
-            s.handle_packet(&packet::decode(p).unwrap(), p, start, &mut out);
+            steering.handle_packet(&packet::decode(p).unwrap(), p, start, &mut out);
         }
         start.elapsed()
     });
-    let opened = median(|| {
+    let open_ns = median_ns(|| {
         let start = Instant::now();
-        black_box(steer_with_flows(&opens).flow_count());
+        black_box(steering_with_flows(&opens).flow_count());
         start.elapsed()
     });
-    println!("balancer, packet of a known flow: {forwarded:.0} ns");
-    println!("balancer, open offered and noted: {opened:.0} ns");
+    println!("balancer, packet of a known flow: {forward_ns:.0} ns");
+    println!("balancer, open offered and noted: {open_ns:.0} ns");
 
     let now = Instant::now();
-    let mut h = FlowTracker::new("meter".into(), Duration::from_secs(60));
-    let (start, service) = ("i-1".into(), "meter".to_string());
-    let cold = Duration::ZERO;
+    let mut tracker = FlowTracker::new("meter".into(), Duration::from_secs(60));
     let report = Report {
-        incarnation: start,
-        service,
+        incarnation: "i-1".into(),
+        service: "meter".to_string(),
         slots: 5,
         state: TargetState::Ready,
-        warmup: cold,
+        warmup: Duration::ZERO,
         seq: 9,
     };
-    h.handle_report(report, now);
+    tracker.handle_report(report, now);
     let message = Message::Forward { service: "meter", mode: ForwardMode::Owner };
     let mut buf = Vec::new();
-    let carried: Vec<Vec<u8>> = data
+    let forwards: Vec<Vec<u8>> = data
         .iter()
         .map(|p| {
             protocol::encode(&message, p, &mut buf).unwrap();
             buf.clone()
         })
         .collect();
-    let handed = median(|| {
+    let to_target_ns = median_ns(|| {
         let start = Instant::now();
-        for c in &carried {
-            let (m, p) = protocol::decode(c).unwrap();
-            h.handle_message(addr(200), &m, Some(&packet::decode(p).unwrap()), p, start, &mut out);
+        for f in &forwards {
+            let (m, p) = protocol::decode(f).unwrap();
+            tracker.handle_message(
+                agent_addr(200),
+                &m,
+                Some(&packet::decode(p).unwrap()),
+                p,
+                start,
+                &mut out,
+            );
         }
         start.elapsed()
     });
-    println!("agent, caller's packet to the target: {handed:.0} ns");
-    let answers: Vec<Vec<u8>> = (1..=FLOWS)
+    println!("agent, caller's packet to the target: {to_target_ns:.0} ns");
+    let responses: Vec<Vec<u8>> = (1..=FLOWS)
         .map(|p| {
             let f = flow(p);
             let flags = Flags { ack: true, ..Flags::default() };
-            let len = DATA as u16;
+            let len = DATA_BYTES as u16;
             let seg = Segment { src: f.vip, dst: f.caller, flags, seq: 1, ack: 1, len };
-            packet::encode(&seg, &vec![7; DATA])
+            packet::encode(&seg, &vec![7; DATA_BYTES])
         })
         .collect();
-    let answered = median(|| {
+    let to_caller_ns = median_ns(|| {
         let start = Instant::now();
-        for a in &answers {
-            let mut a = a.clone();
-            let seg = packet::decode(&a).unwrap();
-            h.handle_target_packet(&seg, &mut a, start, &mut out, packet::clear_bounced);
+        for r in &responses {
+            let mut packet = r.clone();
+            let seg = packet::decode(&packet).unwrap();
+            tracker.handle_target_packet(&seg, &mut packet, start, &mut out, packet::clear_bounced);
         }
         start.elapsed()
     });
-    println!("agent, target's packet to the caller: {answered:.0} ns");
+    println!("agent, target's packet to the caller: {to_caller_ns:.0} ns");
 
-    let own = own_interface();
-    println!("own interface, balancer, packet of an open flow: {own:.0} ns");
+    let own_ns = own_interface_ns();
+    println!("own interface, balancer, packet of an open flow: {own_ns:.0} ns");
 }
 
-/// The balancer of the product's own interface, codec included.
-fn own_interface() -> f64 {
+/// Returns the time per packet of a balancer on jujubepost's own packet interface.
+fn own_interface_ns() -> f64 {
     let spec = ProfileSettings {
         name: "meter".into(),
         service: Service::Meter,
@@ -198,14 +209,14 @@
         policy: Policy::Least,
     };
     let entries: Vec<(Arc<str>, SocketAddrV4)> =
-        (1..=10).map(|n| (format!("meter-{n}").into(), addr(n))).collect();
-    let owners: HashSet<SocketAddrV4> = (1..=10).map(addr).collect();
+        (1..=10).map(|n| (format!("meter-{n}").into(), agent_addr(n))).collect();
+    let owners: HashSet<SocketAddrV4> = (1..=10).map(agent_addr).collect();
     let pool = Arc::new(Pool { table: MaglevTable::new(entries), owners });
     let view = View { routes: HashMap::from([(443, balancer::Route { spec, pool })]) };
     let packets: Vec<Vec<u8>> = (0..u64::from(FLOWS))
         .map(|flow| {
-            let owner = Owner::new(addr(1), 7);
-            let body = vec![7; DATA];
+            let owner = Owner::new(agent_addr(1), 7);
+            let body = vec![7; DATA_BYTES];
             let reply = vip().into();
             let (kind, seq, ack, port, offer) = (PacketKind::Data, 1, 1, 443, None);
             wire::encode(&Packet {
@@ -222,7 +233,7 @@
             .unwrap()
         })
         .collect();
-    median(|| {
+    median_ns(|| {
         let start = Instant::now();
         for p in &packets {
             let p: Packet = wire::decode(p).unwrap();
--- a/examples/patterns.rs
+++ b/examples/patterns.rs
@@ -1,7 +1,7 @@
-//! Plays every pattern of the model, or those named, and prints what became of
-//! the callers' requests.
+//! Simulates the load and fault patterns of the model, all or those named, and prints
+//! the results of the callers' requests. `SEED` sets the seed of the random numbers.
 //!
-//! `cargo run --release --example patterns -- power join_grown`
+//! Run: `cargo run --release --example patterns -- power join_grown`.
 
 use std::time::Instant;
 
@@ -11,30 +11,31 @@
 fn main() {
     let seed = std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
     let names: Vec<String> = std::env::args().skip(1).collect();
-    for p in pattern::all() {
-        if !names.is_empty() && !names.iter().any(|n| n == p.name) {
+    for pattern in pattern::all() {
+        if !names.is_empty() && !names.iter().any(|n| n == pattern.name) {
             continue;
         }
-        let began = Instant::now();
-        let t = play(&p, &Policy::default(), seed);
+        let start = Instant::now();
+        let stats = play(&pattern, &Policy::default(), seed);
         println!(
             "{:14} owed {:6} served {:.3} late {:5} refused {:4} lost {:4} p50 {:4} p99 {:5} \
              msgs/flow {:6.1} broken {} misrouted {} doubled {}, {:.2} s",
-            p.name,
-            t.owed(),
-            t.part(),
-            t.late,
-            t.refused,
-            t.lost,
-            t.quantile_ms(0.5),
-            t.quantile_ms(0.99),
-            t.per_flow(),
-            t.broken,
-            t.misrouted,
-            t.doubled,
-            began.elapsed().as_secs_f64(),
+            pattern.name,
+            stats.owed(),
+            stats.part(),
+            stats.late,
+            stats.refused,
+            stats.lost,
+            stats.quantile_ms(0.5),
+            stats.quantile_ms(0.99),
+            stats.per_flow(),
+            stats.broken,
+            stats.misrouted,
+            stats.doubled,
+            start.elapsed().as_secs_f64(),
         );
-        let worth: Vec<String> = t.classes.iter().map(|c| format!("{:.3}", c.worth())).collect();
+        let worth: Vec<String> =
+            stats.classes.iter().map(|c| format!("{:.3}", c.worth())).collect();
         println!("{:14} worth by class {}", "", worth.join(" "));
     }
 }
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -1,6 +1,6 @@
-//! Measures what a balancer's view costs as targets and profiles grow: the
-//! time to build it at first and after one change, and the memory of the copy and the
-//! view, in one process without a network.
+//! Measures the cost of a balancer's view as targets and profiles grow: the time of the
+//! first build and of an update after one change, and the memory of the view and the
+//! copy of the store's keys. One process, no network.
 //!
 //! Run: `cargo run --release --example view`.
 
@@ -15,9 +15,13 @@
 use jujubepost::store::mirror::KeyMap;
 use jujubepost::store::{KeyLayout, Kv};
 
-const POINTS: [u32; 5] = [250, 1_000, 4_000, 12_000, 23_000];
-const PER_PROFILE: u32 = 10;
-const ROUNDS: u32 = 10;
+/// Numbers of targets.
+const TARGET_COUNTS: [u32; 5] = [250, 1_000, 4_000, 12_000, 23_000];
+const TARGETS_PER_PROFILE: u32 = 10;
+
+/// Updates over which the time of one is averaged.
+const UPDATES: u32 = 10;
+
 const SERVICES: [Service; 4] =
     [Service::Meter, Service::Fieldlog, Service::Calculadora, Service::Validador];
 
@@ -30,19 +34,20 @@
     SERVICES[i as usize % SERVICES.len()]
 }
 
-fn copy(keys: &KeyLayout, targets: u32) -> KeyMap {
+/// Keys of a store with `targets` targets and their profiles.
+fn store_keys(keys: &KeyLayout, targets: u32) -> KeyMap {
     let mut copy = BTreeMap::new();
     for i in 0..targets {
-        let rec = record::Target {
+        let target = record::Target {
             name: format!("t-{i}").into(),
             zone: "gjw-a".into(),
             service: service(i),
             agent: SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 7_500)),
             stopping: false,
         };
-        insert(&mut copy, keys.target(&rec.name), serde_json::to_vec(&rec).unwrap());
+        insert(&mut copy, keys.target(&target.name), serde_json::to_vec(&target).unwrap());
     }
-    for i in 0..targets / PER_PROFILE {
+    for i in 0..targets / TARGETS_PER_PROFILE {
         let name = format!("p-{i}");
         let spec = ProfileSettings {
             name: name.clone().into(),
@@ -67,30 +72,30 @@
 fn main() {
     let keys = KeyLayout::new("/jujubepost".into());
     println!("targets profiles first_ms change_ms copy_and_view_KiB");
-    for targets in POINTS {
+    for targets in TARGET_COUNTS {
         let before = rss_kib();
-        let mut copy = copy(&keys, targets);
+        let mut copy = store_keys(&keys, targets);
         let roster = Roster::new(Duration::from_secs(6), Duration::from_secs(300));
         let mut builder = Builder::new(keys.clone(), roster);
-        let first = Instant::now();
-        let view = builder.update(&copy, first);
-        let first_ms = first.elapsed().as_secs_f64() * 1_000.0;
-        let memory = rss_kib().saturating_sub(before);
-        // One target leaves, one profile changes, by turns.
-        let mut gone = Vec::new();
-        let mut spent = Duration::ZERO;
-        for i in 0..ROUNDS {
+        let start = Instant::now();
+        let view = builder.update(&copy, start);
+        let first_ms = start.elapsed().as_secs_f64() * 1_000.0;
+        let memory_kib = rss_kib().saturating_sub(before);
+        // Alternately removes a target and changes a profile.
+        let mut removed = Vec::new();
+        let mut update_time = Duration::ZERO;
+        for i in 0..UPDATES {
             if i % 2 == 0 {
-                gone.extend(copy.remove(&*keys.target(&format!("t-{i}"))));
+                removed.extend(copy.remove(&*keys.target(&format!("t-{i}"))));
             } else if let Some(kv) = copy.get_mut(&*keys.profile(&format!("p-{i}"))) {
                 kv.rev += 1;
             }
             let start = Instant::now();
             let _ = builder.update(&copy, start);
-            spent += start.elapsed();
+            update_time += start.elapsed();
         }
-        let ms = spent.as_secs_f64() * 1_000.0 / f64::from(ROUNDS);
+        let update_ms = update_time.as_secs_f64() * 1_000.0 / f64::from(UPDATES);
         let profiles = view.routes.len();
-        println!("{targets} {profiles} {first_ms:.1} {ms:.1} {memory}");
+        println!("{targets} {profiles} {first_ms:.1} {update_ms:.1} {memory_kib}");
     }
 }
