--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -1,10 +1,7 @@
-//! Stand-in for the fabric between callers and balancers.
-//!
-//! It accepts callers' TCP connections at the address of each profile. Each connection
-//! becomes a flow of packets, and each packet goes to a random balancer, so that one
-//! flow crosses many balancers. Unacknowledged packets are resent and replies are put
-//! back in order, as the caller's TCP stack would do. Injected faults act on packets
-//! in both directions.
+//! Stand-in for the fabric: accepts callers' TCP connections, turns each into a flow of
+//! packets and sends each packet to a random balancer. Like the caller's TCP stack, it
+//! resends unacknowledged packets and puts replies in order. Injected faults act on
+//! packets in both directions.
 
 mod connection;
 mod rotation;
