--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -265,7 +265,7 @@
 
     /// Sends a signal to a process.
     pub fn signal(&self, label: &str, signal: Signal) {
-        self.children.send(label, signal);
+        self.children.send_signal(label, signal);
     }
 
     /// Address of a process's metrics and beliefs: of balancer `n` in data centre
@@ -288,7 +288,7 @@
         for t in self.targets {
             t.stop().await;
         }
-        self.children.down().await
+        self.children.stop_all().await
     }
 }
 
