--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -18,7 +18,7 @@
 pub use faults::Faults;
 pub use server::Server;
 
-use crate::metrics::Count;
+use crate::metrics::CounterValue;
 use crate::store::Snapshot;
 
 /// The calls between processes of one site.
@@ -52,7 +52,7 @@
     /// Flows that wait for their target's answer (agents).
     pub waiting: u32,
     /// Counter totals since its start.
-    pub counts: Vec<Count>,
+    pub counts: Vec<CounterValue>,
 }
 
 /// The facts that a role publishes and [`Admin`] answers from.
@@ -130,7 +130,7 @@
             orders: copy.fingerprint(&self.config),
             flows: self.inner.flows.load(Ordering::Relaxed),
             waiting: self.inner.waiting.load(Ordering::Relaxed),
-            counts: crate::metrics::snapshot(),
+            counts: crate::metrics::counter_values(),
         }
     }
 }
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -236,7 +236,7 @@
         }
         self.caller.insert(p.seq, p);
         while let Some(p) = self.caller.pop() {
-            metrics::invariant(!self.caller_done, "nothing_after_close", || {
+            metrics::check_invariant(!self.caller_done, "nothing_after_close", || {
                 format!("flow {:x} seq {}", p.flow, p.seq)
             });
             self.deliver(&p).await;
@@ -299,12 +299,12 @@
         let unconfirmed = !self.confirmed && now.duration_since(self.opened) >= CONFIRM;
         if unconfirmed || self.answers.stalled_for(now) >= timers.give_up {
             log::info!("{} flow {:x}: caller silent", events::AGENT_SILENT, self.spec.flow);
-            metrics::refused(Refusal::Silent);
+            metrics::count_refusal(Refusal::Silent);
             return Some(End::Silent);
         }
         if !self.confirmed && now >= self.accept_at {
             if self.accept_at > self.opened {
-                metrics::retried(Retry::AcceptTimeout);
+                metrics::count_retry(Retry::AcceptTimeout);
             }
             self.send(ReplyKind::Accept).await;
             self.accept_at = now + self.accept_wait;
@@ -312,7 +312,7 @@
         }
         let again: Vec<ReplyKind> = self.answers.resend(now).cloned().collect();
         for answer in again {
-            metrics::retried(Retry::AnswerTimeout);
+            metrics::count_retry(Retry::AnswerTimeout);
             self.send(answer).await;
         }
         None
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -102,7 +102,7 @@
     let mut tasks = agent.borrow_mut().take_tasks();
     tasks.shutdown().await;
     desk.stop().await;
-    for c in metrics::snapshot() {
+    for c in metrics::counter_values() {
         log::info!("{} {c}", events::COUNTERS);
     }
     Ok(())
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -156,7 +156,7 @@
             }
             _ if p.kind == PacketKind::Reset => {}
             _ => {
-                metrics::refused(Refusal::UnknownFlow);
+                metrics::count_refusal(Refusal::UnknownFlow);
                 self.reply(&p, p.owner, ReplyKind::Reset);
             }
         }
@@ -175,11 +175,11 @@
             return;
         }
         let Some(profile) = self.orders.profiles.get(&p.port) else {
-            metrics::refused(Refusal::NoProfile);
+            metrics::count_refusal(Refusal::NoProfile);
             return;
         };
         if profile.service != self.me.service {
-            metrics::refused(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::ForeignOwner);
             return;
         }
         let max = profile.max_flows;
@@ -211,7 +211,7 @@
     }
 
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
-        metrics::refused(reason);
+        metrics::count_refusal(reason);
         log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_REFUSE, p.flow);
         let owner = Owner::new(v4(self.me.agent), 0);
         self.reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
@@ -258,7 +258,7 @@
 }
 
 async fn pass_on(sock: &UdpSocket, mut p: Packet, offer: Offer) {
-    metrics::retried(Retry::PassedOn);
+    metrics::count_retry(Retry::PassedOn);
     p.offer = Some(offer);
     if let Ok(bytes) = wire::encode(&p) {
         let _ = sock.send_to(&bytes, offer.next_agent()).await;
@@ -272,7 +272,7 @@
         Step::Pass(on) => pass_on(sock, p, on).await,
         Step::Take | Step::Refuse(_) => {
             let reason = Refusal::Unreachable;
-            metrics::refused(reason);
+            metrics::count_refusal(reason);
             spec.send(sock, ReplyKind::Refuse { body: refusal::response(reason) }).await;
         }
     }
--- a/src/balancer/follow.rs
+++ b/src/balancer/follow.rs
@@ -43,7 +43,9 @@
             self.stale = false;
             self.rebuild();
             let back = self.copy.rev < self.board.copy().rev;
-            metrics::invariant(!back, "view_never_reverts", || format!("to {}", self.copy.rev));
+            metrics::check_invariant(!back, "view_never_reverts", || {
+                format!("to {}", self.copy.rev)
+            });
             self.board.set_copy(self.copy.clone());
             self.board.set_ready(true);
         }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -156,7 +156,7 @@
                 sock.send_to(&bytes, offer.first).await.map(drop)
             }
             Decision::Drop(reason) => {
-                metrics::refused(reason);
+                metrics::count_refusal(reason);
                 log::debug!("{} flow {:x} dropped: {reason}", events::BALANCER_DROP, p.flow);
                 refuse(sock, &p, reason).await
             }
@@ -183,7 +183,7 @@
 /// Invariant: a packet of a profile goes only to agents of its service.
 fn check_service(view: &View, port: u16, to: SocketAddrV4) {
     let own = view.routes.get(&port).is_some_and(|r| r.pool.owners.contains(&to));
-    metrics::invariant(own, "own_service", || format!("port {port} to {to}"));
+    metrics::check_invariant(own, "own_service", || format!("port {port} to {to}"));
 }
 
 /// Announces the balancer under a lease and keeps the lease alive.
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -145,7 +145,7 @@
         let mut reader = SnapshotReader::default();
         let narrow_prefix = |snapshot: &Snapshot| {
             let prefix = relay.narrow_prefix(snapshot, steer.borrow().config_version());
-            metrics::state("follows_parts", prefix.is_some().into());
+            metrics::set_state("follows_parts", prefix.is_some().into());
             prefix
         };
         let follow = mirror::follow(&source, narrow_prefix, |news| match news {
@@ -182,10 +182,10 @@
     }
 
     fn publish_gauges(&self) {
-        metrics::state("config_version", self.config_version().unwrap_or_default());
-        metrics::state("agents", self.roster.len() as u64);
-        metrics::state("flows_remembered", self.flow_count() as u64);
-        metrics::state("ready", self.is_ready().into());
+        metrics::set_state("config_version", self.config_version().unwrap_or_default());
+        metrics::set_state("agents", self.roster.len() as u64);
+        metrics::set_state("flows_remembered", self.flow_count() as u64);
+        metrics::set_state("ready", self.is_ready().into());
     }
 }
 
@@ -232,11 +232,11 @@
         let all_read =
             sockets.bus.read_batch(&mut buf, |datagram, from| match protocol::decode(datagram) {
                 Ok((message, _)) => steer.handle_message(from, &message, now, &mut out),
-                Err(e) => metrics::dropped(e),
+                Err(e) => metrics::count_drop(e),
             });
         sockets.packets.read_batch(&mut buf, |datagram, _| match packet::decode(datagram) {
             Ok(seg) => steer.handle_packet(&seg, datagram, now, &mut out),
-            Err(e) => metrics::dropped(e),
+            Err(e) => metrics::count_drop(e),
         });
         if all_read {
             steer.tick(now, &mut out);
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -35,8 +35,8 @@
     Server::start(addr, move |request| match request.path.as_str() {
         "/metrics" => {
             process.borrow().publish_gauges();
-            metrics::load::publish();
-            Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::text() }
+            metrics::process::publish();
+            Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::prometheus_text() }
         }
         "/beliefs" => match parse_flow(&request.query) {
             Ok(flow) => Answer::json(process.borrow().beliefs(flow).to_string()),
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -69,7 +69,7 @@
 }
 
 fn log_counters() {
-    for c in metrics::snapshot() {
+    for c in metrics::counter_values() {
         log::info!(
             event = events::COUNTERS, counter = c.name, reason = c.reason, total = c.value;
             "counter total at exit"
--- a/src/edge/pause.rs
+++ b/src/edge/pause.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::events;
-use crate::metrics::load;
+use crate::metrics::process;
 
 /// Shortest delay that counts as a pause. A smaller value reports scheduling
 /// jitter as pauses.
@@ -18,7 +18,7 @@
         return None;
     }
     let ms = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
-    load::paused(ms);
+    process::add_paused_ms(ms);
     log::warn!(event = events::EDGE_PAUSED, late_ms = ms; "process was paused");
     Some(late)
 }
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -120,7 +120,7 @@
     match serde_json::from_slice::<ListedAgent>(&kv.value) {
         Ok(record) => Previous::Present(record.target),
         Err(e) => {
-            metrics::dropped("entry_unreadable");
+            metrics::count_drop("entry_unreadable");
             log::error!(
                 event = events::EDGE_STORE, key = key, error:% = e;
                 "previous registration cannot be decoded; starting without it"
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -52,7 +52,7 @@
         }
         Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
         Err(e) => {
-            metrics::dropped("report_unreadable");
+            metrics::count_drop("report_unreadable");
             log::warn!(
                 event = events::REPORT_IGNORED, error:% = format!("{e:#}");
                 "report of the target cannot be decoded; ignored"
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -207,8 +207,8 @@
     }
 
     fn publish_gauges(&self) {
-        metrics::state("flows", self.flow_count() as u64);
-        metrics::state("waiting", self.waiting_count().into());
+        metrics::set_state("flows", self.flow_count() as u64);
+        metrics::set_state("waiting", self.waiting_count().into());
     }
 }
 
@@ -233,14 +233,14 @@
     sockets.bus.read_batch(buf, |datagram, from| {
         activity.received = true;
         let Ok((message, packet)) = protocol::decode(datagram) else {
-            metrics::dropped("not a message");
+            metrics::count_drop("not a message");
             return;
         };
         activity.unregistered |= message == Message::Ping { listed: false };
         match (packet.is_empty(), packet::decode(packet)) {
             (true, _) => holder.handle_message(from, &message, None, packet, now, out),
             (false, Ok(seg)) => holder.handle_message(from, &message, Some(&seg), packet, now, out),
-            (false, Err(e)) => metrics::dropped(e),
+            (false, Err(e)) => metrics::count_drop(e),
         }
     });
     activity
@@ -256,7 +256,7 @@
 ) {
     sockets.outbound.read_batch(buf, |datagram, _| match packet::decode(datagram) {
         Ok(seg) => holder.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
-        Err(e) => metrics::dropped(e),
+        Err(e) => metrics::count_drop(e),
     });
 }
 
--- a/src/edge/snapshot.rs
+++ b/src/edge/snapshot.rs
@@ -115,7 +115,7 @@
         Ok(a) => ("entry_of_other_vm", format!("names {}", a.addr)),
         Err(e) => ("entry_unreadable", e.to_string()),
     };
-    metrics::dropped(reason);
+    metrics::count_drop(reason);
     log::error!(
         event = events::EDGE_ROSTER, key:% = kv.key, reason = reason, error:% = error;
         "agent's registration is invalid; ignored"
@@ -144,7 +144,7 @@
 }
 
 fn log_unreadable_config(kv: &Kv, e: &dyn std::fmt::Display) {
-    metrics::dropped("configuration_unreadable");
+    metrics::count_drop("configuration_unreadable");
     log::error!(
         event = events::EDGE_CONFIG, key:% = kv.key, rev = kv.rev, error:% = format!("{e:#}");
         "configuration cannot be decoded; the last one stays in force"
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 
 use crate::events;
-use crate::metrics::load;
+use crate::metrics::process;
 use crate::protocol::{self, Message};
 
 /// Most datagrams read at one wake-up. A larger value delays timers and the
@@ -59,21 +59,21 @@
                 }
             }
         }
-        load::backlog();
+        process::count_read_backlog();
         false
     }
 
     /// Sends a packet of a flow. If the socket's buffer is full, the packet is
     /// dropped; the flow's endpoints retransmit it.
     pub fn send_packet(&self, to: SocketAddrV4, bytes: &[u8]) {
-        load::carried(bytes.len());
+        process::add_carried_bytes(bytes.len());
         self.try_send(to, bytes);
     }
 
     fn try_send(&self, to: SocketAddrV4, bytes: &[u8]) {
         if let Err(e) = self.sock.try_send_to(bytes, to.into()) {
             if e.kind() == ErrorKind::WouldBlock {
-                load::refused();
+                process::count_refused_send();
             }
             log::debug!(
                 event = events::DATAGRAM_FAILED, to:% = to, error:% = e;
@@ -93,9 +93,9 @@
         match protocol::encode(message, packet, buf) {
             Ok(()) => {
                 if message.is_forward_to_owner() {
-                    load::carried(buf.len());
+                    process::add_carried_bytes(buf.len());
                 } else {
-                    load::message(buf.len());
+                    process::add_message_bytes(buf.len());
                 }
                 self.try_send(to, buf);
             }
--- a/src/fabric/carry.rs
+++ b/src/fabric/carry.rs
@@ -47,7 +47,7 @@
         }
         Opened::Refused(body) => refuse(caller, &body).await,
         Opened::Nobody => {
-            metrics::refused(Refusal::OpenTimeout);
+            metrics::count_refusal(Refusal::OpenTimeout);
             log::warn!(
                 "{} flow {:x} on port {}: no agent accepted it",
                 events::FABRIC_OPEN,
@@ -94,7 +94,7 @@
                 Err(_) => break,
             }
         }
-        metrics::retried(Retry::OpenTimeout);
+        metrics::count_retry(Retry::OpenTimeout);
         p.seq += 1;
     }
     Opened::Nobody
@@ -211,12 +211,12 @@
         let now = Instant::now();
         if self.sent.stalled_for(now) >= self.link.timers.give_up {
             log::warn!("{} flow {:x}: agent silent", events::FABRIC_SILENT, self.link.flow);
-            metrics::refused(Refusal::Silent);
+            metrics::count_refusal(Refusal::Silent);
             return Some(Over::AgentGone);
         }
         let again: Vec<Packet> = self.sent.resend(now).cloned().collect();
         for mut p in again {
-            metrics::retried(Retry::PacketTimeout);
+            metrics::count_retry(Retry::PacketTimeout);
             p.ack = self.answers.next_seq();
             self.link.spray.send(&p).await;
         }
--- a/src/fabric/spray.rs
+++ b/src/fabric/spray.rs
@@ -66,7 +66,7 @@
 
     /// Sends one packet through a balancer picked at random.
     pub async fn send(&self, p: &Packet) {
-        metrics::invariant(
+        metrics::check_invariant(
             p.kind == PacketKind::Open || p.owner != Owner::NONE,
             "owner_named",
             || format!("flow {:x} {:?}", p.flow, p.kind),
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -6,7 +6,7 @@
 //! platform's roles also serve them as text ([`text`]), with histograms and
 //! gauges, in the format that Prometheus reads.
 
-pub mod load;
+pub mod process;
 
 use std::sync::{Arc, OnceLock, Weak};
 use std::time::Duration;
@@ -104,9 +104,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Reader(Arc<ManualReader>);
+struct SharedReader(Arc<ManualReader>);
 
-impl MetricReader for Reader {
+impl MetricReader for SharedReader {
     fn register_pipeline(&self, pipeline: Weak<Pipeline>) {
         self.0.register_pipeline(pipeline);
     }
@@ -131,14 +131,16 @@
 /// Upper bounds of the histograms' buckets, in seconds: from a handshake
 /// (0.3 ms) over a request (50 ms) and the callers' aims (0.2 to 0.5 s) to
 /// their time limits (8 s).
-const BOUNDS: [f64; 13] = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0];
+const LATENCY_BUCKETS_S: [f64; 13] =
+    [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0];
 
 /// Upper bounds of the histogram of a search's questions and answers: 4 are
 /// what a flow's home takes to be asked and to name its owner.
-const SEARCH_BOUNDS: [f64; 10] = [1.0, 2.0, 4.0, 6.0, 8.0, 16.0, 32.0, 64.0, 256.0, 2048.0];
+const SEARCH_MESSAGE_BUCKETS: [f64; 10] =
+    [1.0, 2.0, 4.0, 6.0, 8.0, 16.0, 32.0, 64.0, 256.0, 2048.0];
 
-struct Meters {
-    reader: Reader,
+struct Instruments {
+    reader: SharedReader,
     _provider: SdkMeterProvider,
     refusals: Counter<u64>,
     retries: Counter<u64>,
@@ -151,11 +153,11 @@
     registry: prometheus::Registry,
 }
 
-static METERS: OnceLock<Meters> = OnceLock::new();
+static INSTRUMENTS: OnceLock<Instruments> = OnceLock::new();
 
-fn meters() -> &'static Meters {
-    METERS.get_or_init(|| {
-        let reader = Reader(Arc::new(ManualReader::builder().build()));
+fn instruments() -> &'static Instruments {
+    INSTRUMENTS.get_or_init(|| {
+        let reader = SharedReader(Arc::new(ManualReader::builder().build()));
         let registry = prometheus::Registry::new();
         let mut builder = SdkMeterProvider::builder().with_reader(reader.clone());
         match opentelemetry_prometheus::exporter().with_registry(registry.clone()).build() {
@@ -170,16 +172,20 @@
         let violations = meter.u64_counter("jujubepost.violations").build();
         let drops = meter.u64_counter("jujubepost.drops").build();
         let times = |name| {
-            meter.f64_histogram(name).with_unit("s").with_boundaries(BOUNDS.to_vec()).build()
+            meter
+                .f64_histogram(name)
+                .with_unit("s")
+                .with_boundaries(LATENCY_BUCKETS_S.to_vec())
+                .build()
         };
         let answers = times("jujubepost.answer.time");
         let calls = times("jujubepost.store.time");
         let searches = meter
             .u64_histogram("jujubepost.search.messages")
-            .with_boundaries(SEARCH_BOUNDS.to_vec())
+            .with_boundaries(SEARCH_MESSAGE_BUCKETS.to_vec())
             .build();
         let state = meter.u64_gauge("jujubepost.state").build();
-        Meters {
+        Instruments {
             reader,
             _provider: provider,
             refusals,
@@ -196,66 +202,66 @@
 }
 
 /// Counts one refusal.
-pub fn refused(reason: Refusal) {
-    meters().refusals.add(1, &[KeyValue::new("reason", reason.to_string())]);
+pub fn count_refusal(reason: Refusal) {
+    instruments().refusals.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
 /// Counts one retry.
-pub fn retried(reason: Retry) {
-    meters().retries.add(1, &[KeyValue::new("reason", reason.to_string())]);
+pub fn count_retry(reason: Retry) {
+    instruments().retries.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
 /// Counts one datagram that was dropped for `reason`.
-pub fn dropped(reason: impl std::fmt::Display) {
-    meters().drops.add(1, &[KeyValue::new("reason", reason.to_string())]);
+pub fn count_drop(reason: impl std::fmt::Display) {
+    instruments().drops.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
 /// How long the targets of one service take from a caller's data to their
 /// first answer. Made once: a request pays for no attribute of its own.
 #[derive(Clone, Debug)]
-pub struct Answers {
+pub struct ResponseTimes {
     histogram: Histogram<f64>,
     service: [KeyValue; 1],
 }
 
-impl Answers {
+impl ResponseTimes {
     /// The answer times of `service`.
     #[must_use]
     pub fn new(service: &str) -> Self {
         let service = [KeyValue::new("service", service.to_string())];
-        Self { histogram: meters().answers.clone(), service }
+        Self { histogram: instruments().answers.clone(), service }
     }
 
     /// Notes one answer.
-    pub fn note(&self, took: Duration) {
+    pub fn record(&self, took: Duration) {
         self.histogram.record(took.as_secs_f64(), &self.service);
     }
 }
 
 /// Notes how many questions and answers a search for a flow's owner took.
-pub fn searched(messages: u32) {
-    meters().searches.record(messages.into(), &[]);
+pub fn record_search(messages: u32) {
+    instruments().searches.record(messages.into(), &[]);
 }
 
 /// Notes how long a call to the key-value service took, and how it ended.
-pub fn called(call: &str, ok: bool, took: Duration) {
+pub fn record_store_call(call: &str, ok: bool, took: Duration) {
     if ok {
-        load::answered();
+        process::record_store_answer();
     }
     let attributes = [KeyValue::new("call", call.to_string()), KeyValue::new("ok", ok)];
-    meters().calls.record(took.as_secs_f64(), &attributes);
+    instruments().calls.record(took.as_secs_f64(), &attributes);
 }
 
 /// Sets the gauge of one fact that the process believes.
-pub fn state(fact: &'static str, value: u64) {
-    meters().state.record(value, &[KeyValue::new("fact", fact)]);
+pub fn set_state(fact: &'static str, value: u64) {
+    instruments().state.record(value, &[KeyValue::new("fact", fact)]);
 }
 
 /// Every counter, histogram and gauge, as text in the format that Prometheus
 /// reads.
 #[must_use]
-pub fn text() -> String {
-    let families = meters().registry.gather();
+pub fn prometheus_text() -> String {
+    let families = instruments().registry.gather();
     prometheus::TextEncoder::new().encode_to_string(&families).unwrap_or_else(|e| {
         log::error!("{} metrics as text: {e}", crate::events::METRICS_FAILED);
         String::new()
@@ -264,12 +270,12 @@
 
 /// Checks an invariant of the program: when it does not hold, logs it, counts
 /// it under `jujubepost.violations`, and in debug builds ends the process.
-pub fn invariant(holds: bool, name: &'static str, detail: impl FnOnce() -> String) {
+pub fn check_invariant(holds: bool, name: &'static str, detail: impl FnOnce() -> String) {
     if holds {
         return;
     }
     log::error!("{} invariant {name} broken: {}", crate::events::VIOLATION, detail());
-    meters().violations.add(1, &[KeyValue::new("reason", name)]);
+    instruments().violations.add(1, &[KeyValue::new("reason", name)]);
     if cfg!(debug_assertions) {
         std::process::abort();
     }
@@ -278,7 +284,7 @@
 /// One counter value with its reason.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 #[display("{name}{{reason={reason}}} {value}")]
-pub struct Count {
+pub struct CounterValue {
     /// Counter name.
     pub name: String,
     /// The `reason` attribute.
@@ -289,8 +295,8 @@
 
 /// Every counter's totals since start, sorted by name and reason.
 #[must_use]
-pub fn snapshot() -> Vec<Count> {
-    let m = meters();
+pub fn counter_values() -> Vec<CounterValue> {
+    let m = instruments();
     let mut rm = ResourceMetrics::default();
     if m.reader.collect(&mut rm).is_err() {
         return Vec::new();
@@ -307,7 +313,11 @@
                     .find(|kv| kv.key.as_str() == "reason")
                     .map(|kv| kv.value.to_string())
                     .unwrap_or_default();
-                out.push(Count { name: metric.name().to_string(), reason, value: dp.value() });
+                out.push(CounterValue {
+                    name: metric.name().to_string(),
+                    reason,
+                    value: dp.value(),
+                });
             }
         }
     }
--- a/src/platform/kv.rs
+++ b/src/platform/kv.rs
@@ -166,7 +166,7 @@
         let response = tokio::time::timeout(timeout, request).await;
         let ok = matches!(&response, Ok(Ok(res)) if res.status().is_success());
         let call = operation.split(' ').next().unwrap_or_default();
-        metrics::called(call, ok, started.elapsed());
+        metrics::record_store_call(call, ok, started.elapsed());
         response
             .map_err(|_| anyhow::anyhow!("{operation} at store {}: timeout", self.addr))?
             .map_err(|e| anyhow::anyhow!("{operation} at store {}: {e}", self.addr))
@@ -348,7 +348,7 @@
 fn decode_or_skip(item: Item) -> Option<Kv> {
     decode_kv(item)
         .inspect_err(|e| {
-            metrics::dropped("item_unreadable");
+            metrics::count_drop("item_unreadable");
             log::error!(event = events::EDGE_STORE, error:% = format!("{e:#}"); "item cannot be decoded; skipping it");
         })
         .ok()
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -153,7 +153,7 @@
 pub fn read_index(snapshot: &Snapshot) -> Option<(Index, i64)> {
     let kv = snapshot.keys.get(INDEX_KEY)?;
     let decoded = serde_json::from_slice(&kv.value).inspect_err(|e| {
-        crate::metrics::dropped("index_unreadable");
+        crate::metrics::count_drop("index_unreadable");
         log::error!(
             event = crate::events::EDGE_CONFIG, key = INDEX_KEY, error:% = e;
             "index of configuration parts cannot be decoded; ignored"
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -72,7 +72,7 @@
         search.named_trial = None;
         search.wave_index = 0;
         search.message_count = 0;
-        metrics::retried(Retry::OwnerAsked);
+        metrics::count_retry(Retry::OwnerAsked);
         log::info!(
             event = events::OWNER_ASKED, flow:% = flow, agents = search.agent_count,
             version = self.config_version();
@@ -211,7 +211,7 @@
     ) {
         self.buffered_bytes -= search.buffered_bytes();
         if search.message_count > 0 {
-            metrics::searched(search.message_count);
+            metrics::record_search(search.message_count);
         }
         if search.tried.contains(&from) {
             // The trial already delivered the last packet; the caller retransmits the rest.
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -365,7 +365,7 @@
     /// Queues a packet until the first configuration arrives.
     fn park(&mut self, arrival: &ReceivedPacket<'_>) {
         if self.parked.len() >= self.policy.max_parked {
-            metrics::refused(Refusal::NoConfig);
+            metrics::count_refusal(Refusal::NoConfig);
             self.parked.pop_front();
         }
         self.unpark_at.get_or_insert(arrival.now + self.policy.unpark_interval);
@@ -423,7 +423,7 @@
 }
 
 fn send_refusal(flow: Flow, seq: u32, reason: Refusal, out: &mut impl Transmit) {
-    metrics::refused(reason);
+    metrics::count_refusal(reason);
     log::info!(event = events::FLOW_REFUSED, flow:% = flow, reason:% = reason; "flow refused");
     out.send_reset(flow, seq);
 }
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -160,7 +160,7 @@
     ) {
         let Some(FlowState::Opening(mut opening)) = self.flows.remove(flow) else { return };
         if !opening.in_backoff {
-            metrics::retried(Retry::OpenTimeout);
+            metrics::count_retry(Retry::OpenTimeout);
             log::info!(
                 event = events::OPEN_UNANSWERED, flow:% = flow, offered:? = opening.offered_to,
                 age_ms = now.duration_since(opening.arrived_at).as_millis();
@@ -173,7 +173,7 @@
             opening.timeout_count += 1;
         }
         if !self.take_retry_token(now) {
-            metrics::retried(Retry::BudgetSpent);
+            metrics::count_retry(Retry::BudgetSpent);
             self.retry_or_refuse(flow, opening, Refusal::OpenTimeout, now, out);
         } else if self.offer_open(flow, &mut opening, None, now, out) {
             self.flows.insert(flow, FlowState::Opening(opening), now);
--- a/src/steering/resolve.rs
+++ b/src/steering/resolve.rs
@@ -55,7 +55,7 @@
         let before = s.buffered_bytes();
         s.wave_deadline = None;
         s.keep_last();
-        metrics::searched(std::mem::take(&mut s.message_count));
+        metrics::record_search(std::mem::take(&mut s.message_count));
         self.buffered_bytes -= before - s.buffered_bytes();
     }
 
--- a/src/steering/search.rs
+++ b/src/steering/search.rs
@@ -123,7 +123,7 @@
         if self.packets.is_empty() || room && self.packets.len() < policy.buffer_packets {
             self.packets.push_back(packet.to_vec());
         } else {
-            metrics::dropped("search_full");
+            metrics::count_drop("search_full");
         }
     }
 
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -75,7 +75,7 @@
                         event = events::AGENT_LAPSED, key = key, lease = lease;
                         "key is gone; acquiring a new lease for it"
                     );
-                    metrics::retried(Retry::LeaseLapsed);
+                    metrics::count_retry(Retry::LeaseLapsed);
                     return;
                 }
                 Err(e) => record_failure(&e),
@@ -87,7 +87,7 @@
                         event = events::AGENT_LAPSED, key = key, lease = lease;
                         "lease lapsed; acquiring a new one"
                     );
-                    metrics::retried(Retry::LeaseLapsed);
+                    metrics::count_retry(Retry::LeaseLapsed);
                     return;
                 }
                 Err(e) => {
@@ -109,5 +109,5 @@
 
 fn record_failure(e: &anyhow::Error) {
     log::warn!(event = events::AGENT_STORE, error:% = format!("{e:#}"); "store call failed");
-    metrics::retried(Retry::StoreError);
+    metrics::count_retry(Retry::StoreError);
 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -190,12 +190,12 @@
                 }
             }
             Ok(ReadOutcome::Compacted) => {
-                metrics::retried(Retry::WatchCompacted);
+                metrics::count_retry(Retry::WatchCompacted);
                 needs_list = true;
             }
             Err(e) => {
                 on_event(MirrorEvent::StoreFailed(&e));
-                metrics::retried(Retry::StoreError);
+                metrics::count_retry(Retry::StoreError);
                 recovering = true;
                 let ask_peers = source.peer_fallback == PeerFallback::Always || snapshot.rev == 0;
                 if ask_peers && update_from_peers(source, &mut snapshot).await {
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -137,7 +137,7 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        metrics::refused(reason);
+        metrics::count_refusal(reason);
         log::info!(
             event = events::OPEN_DECLINED, flow:% = flow, reason:% = reason,
             waiting = self.waiting, flows = self.flows.len();
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -19,7 +19,7 @@
     /// first report. The target returns packets of the previous incarnation's flows.
     pub fn handle_report(&mut self, report: Report, now: Instant) -> bool {
         if let Some(reason) = self.ignore_reason(&report, now) {
-            metrics::dropped(reason);
+            metrics::count_drop(reason);
             log::warn!(
                 event = events::REPORT_IGNORED, target_id:% = report.incarnation, report = report.seq,
                 service = report.service, reason:% = reason,
@@ -165,7 +165,7 @@
             let established =
                 !matches!(tracked.phase, FlowPhase::Opening { .. } | FlowPhase::Answered(_));
             if let Some(at) = since.filter(|_| established) {
-                self.answer_times.note(now.duration_since(at));
+                self.answer_times.record(now.duration_since(at));
             }
             self.flow_load.observe(self.waiting, self.flows.len(), now);
             self.waiting = if waiting { self.waiting + 1 } else { self.waiting.saturating_sub(1) };
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -64,7 +64,7 @@
     /// Flows that wait for an answer of the target.
     waiting: u32,
     flow_load: LoadEstimate,
-    answer_times: metrics::Answers,
+    answer_times: metrics::ResponseTimes,
     /// Until when the target counts as full, after it returned an open.
     full_until: Option<Instant>,
     /// When flows that are not established no longer count as waiting.
@@ -103,7 +103,7 @@
     #[must_use]
     pub fn new(service: Arc<str>, idle_timeout: Duration) -> Self {
         Self {
-            answer_times: metrics::Answers::new(&service),
+            answer_times: metrics::ResponseTimes::new(&service),
             service,
             target: None,
             predecessor: None,
@@ -228,7 +228,7 @@
                 if **service == *self.service {
                     self.handle_forward(from, *mode, &ReceivedPacket { seg, packet, now }, out);
                 } else {
-                    metrics::refused(Refusal::ForeignOwner);
+                    metrics::count_refusal(Refusal::ForeignOwner);
                 }
             }
             (Message::Query(query), _) => self.answer_query(from, query, now, out),
@@ -249,12 +249,12 @@
 /// Resets a flow at its caller because the target's process has ended.
 fn reset_flow(flow: Flow, ack: u32, out: &mut impl Transmit) {
     log::info!(event = events::FLOW_RESET, flow:% = flow, reason = "target_ended"; "flow reset");
-    metrics::refused(Refusal::TargetEnded);
+    metrics::count_refusal(Refusal::TargetEnded);
     out.send_reset(flow, ack);
 }
 
 /// Passes an open, of which the target received nothing, to the other candidate.
 fn pass_on(open: &Open<'_>, offer: Offer, packet: &[u8], out: &mut impl Transmit) {
-    metrics::retried(Retry::PassedOn);
+    metrics::count_retry(Retry::PassedOn);
     out.send_message(offer.next_agent(), &Message::Open(Open { offer, ..*open }), packet);
 }
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -178,7 +178,7 @@
         };
         let service = self.service.clone();
         let open = Open { service: &service, max_flows, aged, offer, reply_to };
-        metrics::retried(Retry::Bounced);
+        metrics::count_retry(Retry::Bounced);
         self.full_until = Some(now + self.policy.full_pause);
         self.schedule_probe(Duration::ZERO, now);
         match give_back(offer) {
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -18,7 +18,7 @@
         out: &mut impl Transmit,
     ) {
         if *query.service != *self.service {
-            metrics::refused(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::ForeignOwner);
             return;
         }
         let mut answers = Vec::with_capacity(query.questions.len());
