--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -290,7 +290,7 @@
         if now.duration_since(self.heard) >= timers.idle {
             log::info!(
                 "{} flow {:x} silent for {:?}, closed",
-                events::AGENT_IDLE,
+                events::AGENT_IDLE_TIMEOUT,
                 self.spec.flow,
                 timers.idle
             );
@@ -298,7 +298,7 @@
         }
         let unconfirmed = !self.confirmed && now.duration_since(self.opened) >= CONFIRM;
         if unconfirmed || self.answers.stalled_for(now) >= timers.give_up {
-            log::info!("{} flow {:x}: caller silent", events::AGENT_SILENT, self.spec.flow);
+            log::info!("{} flow {:x}: caller silent", events::AGENT_ACK_TIMEOUT, self.spec.flow);
             metrics::count_refusal(Refusal::Silent);
             return Some(End::Silent);
         }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -191,7 +191,7 @@
                 board.set_copy(std::sync::Arc::new(copy.clone()));
                 board.set_ready(true);
             }
-            MirrorEvent::StoreFailed(e) => log::warn!("{} {e:#}", events::AGENT_STORE),
+            MirrorEvent::StoreFailed(e) => log::warn!("{} {e:#}", events::AGENT_STORE_UNREACHABLE),
             MirrorEvent::Recovered => {}
         },
     )
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -212,7 +212,7 @@
 
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
         metrics::count_refusal(reason);
-        log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_REFUSE, p.flow);
+        log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_FLOW_REFUSED, p.flow);
         let owner = Owner::new(v4(self.me.agent), 0);
         self.reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
     }
--- a/src/balancer/follow.rs
+++ b/src/balancer/follow.rs
@@ -59,7 +59,7 @@
             .values()
             .map(|r| format!("{}={}/{}", r.spec.name, r.pool.table.len(), r.pool.owners.len()))
             .collect();
-        log::info!("{} view: {}", events::BALANCER_VIEW, sizes.join(" "));
+        log::info!("{} view: {}", events::BALANCER_VIEW_REBUILT, sizes.join(" "));
         *self.view.borrow_mut() = next;
     }
 }
@@ -93,7 +93,7 @@
                 j.catch_up();
             }
             MirrorEvent::StoreFailed(e) => {
-                log::warn!("{} {e:#}", events::BALANCER_STORE);
+                log::warn!("{} {e:#}", events::BALANCER_STORE_UNREACHABLE);
                 judge.borrow_mut().builder.roster.postpone(Instant::now());
             }
             MirrorEvent::Recovered => {}
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -196,7 +196,7 @@
     let since_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
     let value = serde_json::to_vec(&record::Drain { since_ms })?;
     store.put(&keys.drain_order(target), &value, 0).await?;
-    log::info!("{} target {target} drains", events::CTL_WRITE);
+    log::info!("{} target {target} drains", events::CTL_WRITTEN);
     Ok(())
 }
 
@@ -209,7 +209,7 @@
     s.target(target)?;
     let (store, keys) = open(s).await;
     store.delete(&keys.drain_order(target)).await?;
-    log::info!("{} target {target} back in service", events::CTL_WRITE);
+    log::info!("{} target {target} back in service", events::CTL_WRITTEN);
     Ok(())
 }
 
@@ -288,7 +288,7 @@
         }
     };
     match outcome {
-        Outcome::Written => log::info!("{} profile {} written", events::CTL_WRITE, spec.name),
+        Outcome::Written => log::info!("{} profile {} written", events::CTL_WRITTEN, spec.name),
         Outcome::Conflict => {
             log::warn!("{} profile {} not written: conflict", events::CTL_CONFLICT, spec.name)
         }
--- a/src/events/mod.rs
+++ b/src/events/mod.rs
@@ -1,127 +1,126 @@
-//! Numbered log events. Every log line starts with one of these codes; the
-//! catalogue with meaning and operator action is `docs/EVENTS.md`.
+//! Codes of log events. A log line carries one of these codes, and
+//! `docs/EVENTS.md` lists what each means and what an operator does about it.
 
-/// One of this many flows that went well is logged: at 10,000 new flows a
-/// second about 40 lines.
-pub const SAMPLE: u64 = 256;
+/// One in this many accepted flows is logged; a larger value logs fewer.
+pub const FLOW_SAMPLE_INTERVAL: u64 = 256;
 
-/// Whether the flow with this hash is one that is logged although it went
-/// well; the same at every process.
+/// Whether the flow with this hash is logged when it is accepted. The choice
+/// depends on the hash alone, so every process logs the same flows.
 #[must_use]
-pub const fn sampled(hash: u64) -> bool {
-    hash.is_multiple_of(SAMPLE)
+pub const fn is_sampled(hash: u64) -> bool {
+    hash.is_multiple_of(FLOW_SAMPLE_INTERVAL)
 }
 
 /// The store stand-in is listening.
 pub const STORE_START: &str = "E100";
-/// The store stand-in changed its injected faults.
-pub const STORE_FAULT: &str = "E101";
-/// The store stand-in dropped the answer of a write that took effect.
-pub const STORE_LOST: &str = "E102";
-/// The store stand-in removed keys of lapsed leases.
-pub const STORE_LAPSED: &str = "E103";
+/// The injected faults of the store stand-in changed.
+pub const STORE_FAULTS_SET: &str = "E101";
+/// The store stand-in applied a write and dropped its response.
+pub const STORE_RESPONSE_DROPPED: &str = "E102";
+/// The store stand-in removed the keys of expired leases.
+pub const STORE_LEASES_EXPIRED: &str = "E103";
 
 /// A balancer started.
 pub const BALANCER_START: &str = "E200";
-/// A balancer rebuilt its view of profiles and targets.
-pub const BALANCER_VIEW: &str = "E201";
-/// A balancer could not reach the store and keeps its last view.
-pub const BALANCER_STORE: &str = "E202";
-/// A balancer dropped a packet it could not place.
+/// A balancer rebuilt its table of profiles and targets.
+pub const BALANCER_VIEW_REBUILT: &str = "E201";
+/// A balancer could not reach the store and keeps its last table.
+pub const BALANCER_STORE_UNREACHABLE: &str = "E202";
+/// A balancer dropped a packet that it could not forward.
 pub const BALANCER_DROP: &str = "E203";
 /// A balancer stopped.
 pub const BALANCER_STOP: &str = "E204";
 
-/// An agent started and announced its target.
+/// An agent started and registered its target.
 pub const AGENT_START: &str = "E300";
-/// An agent's lease lapsed and it announced again.
-pub const AGENT_LAPSED: &str = "E301";
-/// An agent refused a new flow as not run.
-pub const AGENT_REFUSE: &str = "E302";
-/// An agent learned that its target drains.
+/// An agent's lease expired and it registered its target again.
+pub const AGENT_LEASE_EXPIRED: &str = "E301";
+/// An agent refused a new flow before the target received any of it.
+pub const AGENT_FLOW_REFUSED: &str = "E302";
+/// A target started to drain, or is back in service.
 pub const AGENT_DRAIN: &str = "E303";
-/// An agent closed a flow that stayed silent too long.
-pub const AGENT_IDLE: &str = "E304";
+/// An agent closed a flow that was idle for too long.
+pub const AGENT_IDLE_TIMEOUT: &str = "E304";
 /// An agent gave up a flow whose caller acknowledged nothing for too long.
-pub const AGENT_SILENT: &str = "E307";
-/// An agent is stopping and waits for open flows.
+pub const AGENT_ACK_TIMEOUT: &str = "E307";
+/// An agent is stopping and waits for its open flows to end.
 pub const AGENT_STOP: &str = "E305";
 /// An agent could not reach the store.
-pub const AGENT_STORE: &str = "E306";
+pub const AGENT_STORE_UNREACHABLE: &str = "E306";
 
 /// The fabric stand-in is listening for callers.
 pub const FABRIC_START: &str = "E400";
-/// The fabric gave up on a flow that no agent accepted.
-pub const FABRIC_OPEN: &str = "E401";
+/// The fabric gave up a flow that no agent accepted in time.
+pub const FABRIC_OPEN_TIMEOUT: &str = "E401";
 
-/// The fabric gave up on a flow whose agent acknowledged nothing.
-pub const FABRIC_SILENT: &str = "E402";
-/// The fabric's injected faults changed.
-pub const FABRIC_FAULT: &str = "E403";
-/// A balancer went out of the fabric's rotation or came back.
+/// The fabric gave up a flow whose agent acknowledged nothing for too long.
+pub const FABRIC_ACK_TIMEOUT: &str = "E402";
+/// The injected faults of the fabric changed.
+pub const FABRIC_FAULTS_SET: &str = "E403";
+/// A balancer left or rejoined the set to which the fabric sends packets.
 pub const FABRIC_ROTATION: &str = "E404";
 
 /// A target stand-in is listening.
 pub const TARGET_START: &str = "E500";
-/// A target stand-in got a request for another service.
-pub const TARGET_FOREIGN: &str = "E501";
+/// A target stand-in received a request for another service.
+pub const TARGET_WRONG_SERVICE: &str = "E501";
 
 /// An operator's change was written.
-pub const CTL_WRITE: &str = "E600";
-/// An operator's change lost a race to another change.
+pub const CTL_WRITTEN: &str = "E600";
+/// An operator's change was rejected because another came first.
 pub const CTL_CONFLICT: &str = "E601";
 
-/// An invariant of the program did not hold.
-pub const VIOLATION: &str = "E999";
+/// An internal invariant was violated.
+pub const INVARIANT_VIOLATED: &str = "E999";
 
-/// A process on the platform started.
+/// A platform process started.
 pub const EDGE_START: &str = "E700";
-/// A process on the platform is stopping.
+/// A platform process is stopping.
 pub const EDGE_STOP: &str = "E701";
-/// A process on the platform read its settings again.
+/// A platform process reloaded its settings.
 pub const EDGE_RELOAD: &str = "E702";
-/// A dependency was lost or is back.
+/// The connection to the store was lost or is back.
 pub const EDGE_STORE: &str = "E703";
-/// A configuration is in force, or was refused.
+/// A configuration was applied or rejected.
 pub const EDGE_CONFIG: &str = "E704";
-/// The agents that a balancer believes in changed.
+/// A balancer's list of agents changed.
 pub const EDGE_ROSTER: &str = "E705";
 /// A target's state changed.
 pub const EDGE_TARGET: &str = "E706";
-/// A balancer hands a large configuration on in parts, or no longer does.
+/// A balancer started or stopped relaying the configuration in parts.
 pub const EDGE_RELAY: &str = "E707";
-/// The process did not run for a while.
+/// The process was not scheduled for a while.
 pub const EDGE_PAUSED: &str = "E708";
-/// A new flow was refused; nothing ran.
+/// A new flow was refused before a target received any of it.
 pub const FLOW_REFUSED: &str = "E710";
-/// A flow was reset because its target's process is over.
+/// A flow was reset because its target's process ended.
 pub const FLOW_RESET: &str = "E711";
 /// A target's report was ignored.
 pub const REPORT_IGNORED: &str = "E712";
-/// A peer did not hand over its copy of the store's keys.
-pub const PEER_SILENT: &str = "E715";
-/// Agents did not answer an open in time; it goes to the next.
+/// A peer's copy of the store's keys could not be fetched.
+pub const PEER_COPY_FAILED: &str = "E715";
+/// No agent answered an open in time; it is offered to the next.
 pub const OPEN_UNANSWERED: &str = "E716";
-/// An agent did not take an open; nothing ran.
+/// An agent declined an open; its target received nothing.
 pub const OPEN_DECLINED: &str = "E717";
-/// The agents of a service were asked for a flow's owner.
+/// The agents of a service were asked which of them owns a flow.
 pub const OWNER_ASKED: &str = "E718";
-/// No agent said that it holds a flow, and some did not answer or could not verify it.
+/// No agent claimed a flow, and some did not answer or could not verify it.
 pub const OWNER_UNKNOWN: &str = "E724";
-/// A packet of a flow that no agent knew was tried at a target.
+/// A packet of a flow that no agent owns was tried at a target.
 pub const FLOW_TRIED: &str = "E719";
-/// An agent took a flow (one in [`SAMPLE`]).
-pub const FLOW_TAKEN: &str = "E720";
-/// The metrics could not be served.
+/// An agent accepted a flow (one in [`FLOW_SAMPLE_INTERVAL`]).
+pub const FLOW_ACCEPTED: &str = "E720";
+/// The metrics could not be exported.
 pub const METRICS_FAILED: &str = "E723";
-/// Lines of one event were folded into this one.
-pub const FOLDED: &str = "E721";
-/// Lines were dropped because nobody read them.
+/// Lines of one event were suppressed by the rate limit.
+pub const LINES_SUPPRESSED: &str = "E721";
+/// Log lines were dropped because the queue was full.
 pub const LINES_DROPPED: &str = "E722";
-/// A connection of the HTTP server failed.
-pub const LISTEN_FAILED: &str = "E713";
-/// A datagram could not be read or sent.
+/// The HTTP server could not accept or serve a connection.
+pub const HTTP_FAILED: &str = "E713";
+/// A datagram could not be received or sent.
 pub const DATAGRAM_FAILED: &str = "E714";
 
-/// Counter totals printed at stop.
+/// Counter totals, logged at shutdown.
 pub const COUNTERS: &str = "E900";
--- a/src/fabric/carry.rs
+++ b/src/fabric/carry.rs
@@ -50,7 +50,7 @@
             metrics::count_refusal(Refusal::OpenTimeout);
             log::warn!(
                 "{} flow {:x} on port {}: no agent accepted it",
-                events::FABRIC_OPEN,
+                events::FABRIC_OPEN_TIMEOUT,
                 link.flow,
                 link.port
             );
@@ -210,7 +210,7 @@
     async fn on_timer(&mut self) -> Option<Over> {
         let now = Instant::now();
         if self.sent.stalled_for(now) >= self.link.timers.give_up {
-            log::warn!("{} flow {:x}: agent silent", events::FABRIC_SILENT, self.link.flow);
+            log::warn!("{} flow {:x}: agent silent", events::FABRIC_ACK_TIMEOUT, self.link.flow);
             metrics::count_refusal(Refusal::Silent);
             return Some(Over::AgentGone);
         }
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -194,7 +194,7 @@
         if now == before {
             continue;
         }
-        log::warn!("{} faults set to {now:?}", events::FABRIC_FAULT);
+        log::warn!("{} faults set to {now:?}", events::FABRIC_FAULTS_SET);
         match (before.mute, now.mute) {
             (false, true) => spray.mute(flows.borrow().keys().copied().collect()),
             (true, false) => spray.mute(Default::default()),
--- a/src/listen/mod.rs
+++ b/src/listen/mod.rs
@@ -97,7 +97,7 @@
                 open.spawn_local(connection(stream, handle.clone()));
             }
             Err(e) => {
-                log::warn!(event = crate::events::LISTEN_FAILED, error:% = e; "accepting failed");
+                log::warn!(event = crate::events::HTTP_FAILED, error:% = e; "accepting failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -110,7 +110,7 @@
 
 async fn connection<H: Fn(Asked) -> Answer + 'static>(stream: TcpStream, handle: Rc<H>) {
     if let Err(e) = serve(stream, handle).await {
-        log::debug!(event = crate::events::LISTEN_FAILED, error:% = format!("{e:#}"); "connection failed");
+        log::debug!(event = crate::events::HTTP_FAILED, error:% = format!("{e:#}"); "connection failed");
     }
 }
 
--- a/src/logs/bounded.rs
+++ b/src/logs/bounded.rs
@@ -107,7 +107,7 @@
 
     fn push_folded(&self, event: &str, count: u32) {
         if count > 0 {
-            let kvs = json!({"event": events::FOLDED, "of": event, "count": count});
+            let kvs = json!({"event": events::LINES_SUPPRESSED, "of": event, "count": count});
             self.push(json!({"message": "lines folded", "kvs": kvs}).to_string().into_bytes());
         }
     }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -274,7 +274,7 @@
     if holds {
         return;
     }
-    log::error!("{} invariant {name} broken: {}", crate::events::VIOLATION, detail());
+    log::error!("{} invariant {name} broken: {}", crate::events::INVARIANT_VIOLATED, detail());
     instruments().violations.add(1, &[KeyValue::new("reason", name)]);
     if cfg!(debug_assertions) {
         std::process::abort();
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -72,7 +72,7 @@
                 Ok(true) => {}
                 Ok(false) => {
                     log::warn!(
-                        event = events::AGENT_LAPSED, key = key, lease = lease;
+                        event = events::AGENT_LEASE_EXPIRED, key = key, lease = lease;
                         "key is gone; acquiring a new lease for it"
                     );
                     metrics::count_retry(Retry::LeaseLapsed);
@@ -84,7 +84,7 @@
                 Ok(true) => renew_at = Instant::now() + renew_interval,
                 Ok(false) => {
                     log::warn!(
-                        event = events::AGENT_LAPSED, key = key, lease = lease;
+                        event = events::AGENT_LEASE_EXPIRED, key = key, lease = lease;
                         "lease lapsed; acquiring a new one"
                     );
                     metrics::count_retry(Retry::LeaseLapsed);
@@ -108,6 +108,6 @@
 }
 
 fn record_failure(e: &anyhow::Error) {
-    log::warn!(event = events::AGENT_STORE, error:% = format!("{e:#}"); "store call failed");
+    log::warn!(event = events::AGENT_STORE_UNREACHABLE, error:% = format!("{e:#}"); "store call failed");
     metrics::count_retry(Retry::StoreError);
 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -279,7 +279,7 @@
     }
     .inspect_err(|e| {
         log::debug!(
-            event = crate::events::PEER_SILENT, error:% = format!("{e:#}");
+            event = crate::events::PEER_COPY_FAILED, error:% = format!("{e:#}");
             "fetching a copy from a peer failed"
         );
     })
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -60,14 +60,17 @@
 pub(crate) fn loses_response(db: &mut Db) -> bool {
     if db.faults.lost_responses > 0 {
         db.faults.lost_responses -= 1;
-        log::warn!("{} response of a write dropped (injected fault)", events::STORE_LOST);
+        log::warn!(
+            "{} response of a write dropped (injected fault)",
+            events::STORE_RESPONSE_DROPPED
+        );
         return true;
     }
     false
 }
 
 async fn fault(state: State<ServerState>, req: Json<Faults>) -> HttpResponse {
-    log::warn!("{} injected faults set to {:?}", events::STORE_FAULT, req.0);
+    log::warn!("{} injected faults set to {:?}", events::STORE_FAULTS_SET, req.0);
     let mut db = state.lock();
     if req.clear_history {
         db.history.clear();
@@ -95,7 +98,10 @@
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             let any_lapsed = lease_state.lock().drop_lapsed_leases(Instant::now());
             if any_lapsed {
-                log::info!("{} leases lapsed; their keys are removed", events::STORE_LAPSED);
+                log::info!(
+                    "{} leases lapsed; their keys are removed",
+                    events::STORE_LEASES_EXPIRED
+                );
                 lease_state.notify.notify_waiters();
             }
         }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -125,7 +125,7 @@
         return st.answer(S::OK).json(&runs);
     }
     if !serves(st.me.service, &path) {
-        log::warn!("{} {} got {path}", events::TARGET_FOREIGN, st.me.name);
+        log::warn!("{} {} got {path}", events::TARGET_WRONG_SERVICE, st.me.name);
         return st.answer(S::MISDIRECTED_REQUEST).finish();
     }
     if path == "/feed" {
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -104,9 +104,9 @@
         out: &mut impl Transmit,
     ) {
         let (flow, now) = (received.flow(), received.now);
-        if events::sampled(flow.hash64()) {
+        if events::is_sampled(flow.hash64()) {
             log::info!(
-                event = events::FLOW_TAKEN, flow:% = flow, waiting = self.waiting,
+                event = events::FLOW_ACCEPTED, flow:% = flow, waiting = self.waiting,
                 flows = self.flows.len(), aged = open.aged;
                 "flow accepted (sampled)"
             );
