--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -18,7 +18,7 @@
 use super::{Settings, connect_store, pause, relay};
 use crate::admin::{self, Board};
 use crate::flow::Flow;
-use crate::listen::{Answer, Server};
+use crate::http::{HttpResponse, Server};
 use crate::platform::{self, packet};
 use crate::protocol::{self, Message};
 use crate::relay::Relay;
@@ -191,7 +191,7 @@
 
 async fn serve_readiness(addr: std::net::SocketAddr, board: Board) -> anyhow::Result<Server> {
     Server::start(addr, move |request| {
-        Answer::empty(match request.path.as_str() {
+        HttpResponse::empty(match request.path.as_str() {
             platform::READY_PATH if board.ready() => StatusCode::OK,
             platform::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
--- a/src/edge/inspect.rs
+++ b/src/edge/inspect.rs
@@ -10,7 +10,7 @@
 
 use super::Settings;
 use crate::flow::Flow;
-use crate::listen::{Answer, Server};
+use crate::http::{HttpResponse, Server};
 use crate::metrics;
 
 /// A process whose state can be inspected.
@@ -36,17 +36,21 @@
         "/metrics" => {
             process.borrow().publish_gauges();
             metrics::process::publish();
-            Answer { status: StatusCode::OK, kind: "text/plain", body: metrics::prometheus_text() }
+            HttpResponse {
+                status: StatusCode::OK,
+                content_type: "text/plain",
+                body: metrics::prometheus_text(),
+            }
         }
         "/beliefs" => match parse_flow(&request.query) {
-            Ok(flow) => Answer::json(process.borrow().beliefs(flow).to_string()),
-            Err(e) => Answer {
+            Ok(flow) => HttpResponse::json(process.borrow().beliefs(flow).to_string()),
+            Err(e) => HttpResponse {
                 status: StatusCode::BAD_REQUEST,
-                kind: "text/plain",
+                content_type: "text/plain",
                 body: format!("{e:#}\n"),
             },
         },
-        _ => Answer::empty(StatusCode::NOT_FOUND),
+        _ => HttpResponse::empty(StatusCode::NOT_FOUND),
     })
     .await
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -22,7 +22,7 @@
 pub use snapshot::SnapshotReader;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::listen::Server;
+use crate::http::Server;
 use crate::{events, metrics, platform};
 
 /// Prefix of the agents' registrations in the store.
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -8,7 +8,7 @@
 use ntex::http::StatusCode;
 
 use super::registration::Registration;
-use crate::listen::{Answer, Asked, Server};
+use crate::http::{HttpRequest, HttpResponse, Server};
 use crate::platform::instances;
 use crate::tracker::FlowTracker;
 use crate::{events, metrics};
@@ -25,7 +25,11 @@
     .await
 }
 
-fn handle_report(request: &Asked, holder: &mut FlowTracker, registration: &Registration) -> Answer {
+fn handle_report(
+    request: &HttpRequest,
+    holder: &mut FlowTracker,
+    registration: &Registration,
+) -> HttpResponse {
     let now = Instant::now();
     match instances::decode(&request.path, &request.body, registration.target) {
         Ok(Some(instances::InstanceCall::Heartbeat(r))) => {
@@ -38,7 +42,7 @@
                 );
                 registration.set_target_start(start);
             }
-            Answer::json(instances::RESPONSE.to_string())
+            HttpResponse::json(instances::RESPONSE.to_string())
         }
         Ok(Some(instances::InstanceCall::Deregister(start))) => {
             if holder.handle_shutdown_notice(&start, now) {
@@ -48,16 +52,16 @@
                     "target deregistered"
                 );
             }
-            Answer::json(instances::RESPONSE.to_string())
+            HttpResponse::json(instances::RESPONSE.to_string())
         }
-        Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
+        Ok(None) => HttpResponse::empty(StatusCode::NOT_FOUND),
         Err(e) => {
             metrics::count_drop("report_unreadable");
             log::warn!(
                 event = events::REPORT_IGNORED, error:% = format!("{e:#}");
                 "report of the target cannot be decoded; ignored"
             );
-            Answer::empty(StatusCode::BAD_REQUEST)
+            HttpResponse::empty(StatusCode::BAD_REQUEST)
         }
     }
 }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -18,7 +18,7 @@
 use super::socket::Socket;
 use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
 use crate::flow::Flow;
-use crate::listen::{Answer, Server};
+use crate::http::{HttpResponse, Server};
 use crate::platform::packet;
 use crate::protocol::{self, Message};
 use crate::steering::ListedAgent;
@@ -131,7 +131,7 @@
     let report_addr = settings.reports.with_context(missing_field("reports"))?;
     let report_server = reports::serve(report_addr, holder.clone(), registration.clone()).await?;
     let ready_server = match settings.ready {
-        Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
+        Some(addr) => Some(Server::start(addr, |_| HttpResponse::empty(StatusCode::OK)).await?),
         None => None,
     };
     let holding =
--- a/src/events/mod.rs
+++ b/src/events/mod.rs
@@ -79,7 +79,7 @@
 pub const EDGE_STOP: &str = "E701";
 /// A platform process reloaded its settings.
 pub const EDGE_RELOAD: &str = "E702";
-/// The connection to the store was lost or is back.
+/// A store call failed, or the store is reachable again.
 pub const EDGE_STORE: &str = "E703";
 /// A configuration was applied or rejected.
 pub const EDGE_CONFIG: &str = "E704";
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`policy`], [`token_bucket`]: the figures that decide under load and trouble, and
 //!   the bound on work that would grow with it.
 //! - [`platform`]: names, formats and calls of the users' platform.
-//! - [`listen`]: a small HTTP server on the process's own thread.
+//! - [`http`]: a small HTTP server on the process's own thread.
 //! - [`maglev`]: the consistent-hash lookup table that picks a target.
 //! - [`store`]: the key-value service stand-in and its client.
 //! - [`balancer`], [`agent`], [`fabric`], [`target`]: the roles.
@@ -35,7 +35,7 @@
 pub mod experiment;
 pub mod fabric;
 pub mod flow;
-pub mod listen;
+pub mod http;
 pub mod logs;
 pub mod maglev;
 pub mod metrics;
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,23 +1,24 @@
-//! Log lines never make the process wait: a reader that stopped costs lines,
-//! which are counted; steady repetition is folded into one line.
+//! The log appender must not block the process when its output stalls, and
+//! must limit the rate of repeated events.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
 use jujubepost::events;
-use jujubepost::logs::Bounded;
+use jujubepost::logs::QueueAppender;
 use logforth::Append;
 use logforth::kv::{Key, Value};
 use logforth::record::{Level, Record};
 
-/// Hands on what is written, once it is let.
-struct Pipe {
+/// A writer that passes its output to a channel. With a gate, its first write
+/// blocks until the gate opens.
+struct GatedPipe {
     out: Sender<String>,
     gate: Option<Receiver<()>>,
 }
 
-impl Write for Pipe {
+impl Write for GatedPipe {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         if let Some(gate) = self.gate.take() {
             let _ = gate.recv();
@@ -31,52 +32,55 @@
     }
 }
 
-fn log(to: &Bounded, event: &'static str) {
+fn log(appender: &QueueAppender, event: &'static str) {
     let kvs = [(Key::new("event"), Value::static_str(event))];
     let args = format_args!("a line");
     let record = Record::builder().level(Level::Info).payload(args).key_values(&kvs[..]).build();
-    to.append(&record, &[]).unwrap();
+    appender.append(&record, &[]).unwrap();
 }
 
 #[test]
-fn stalled_reader() {
+fn stalled_output_drops_lines_without_blocking() {
     let (out, lines) = channel();
     let (open, gate) = channel();
-    let bounded = Bounded::new(Pipe { out, gate: Some(gate) });
+    let appender = QueueAppender::new(GatedPipe { out, gate: Some(gate) });
     let names: Vec<&'static str> =
         (0..500).map(|i| &*Box::leak(format!("T{i}").into_boxed_str())).collect();
     let started = Instant::now();
     for _ in 0..10 {
-        names.iter().for_each(|name| log(&bounded, name));
+        names.iter().for_each(|name| log(&appender, name));
     }
-    assert!(started.elapsed() < Duration::from_secs(5), "logging waited");
-    let dropped = bounded.dropped();
-    // The writer may take one queue's worth before its first write stalls, and
-    // one more line; then the queue, of 1,024 lines, fills once more.
+    assert!(started.elapsed() < Duration::from_secs(5), "logging blocked");
+    let dropped = appender.dropped();
+    // The writer takes at most one queue (1,024 lines) and one line before its
+    // first write blocks; then the queue fills once more.
     let most = 2 * 1_024 + 1;
-    assert!(dropped >= 5_000 - most, "{dropped} of 5,000 dropped, the queue has a fixed size");
+    assert!(
+        dropped >= 5_000 - most,
+        "only {dropped} of 5,000 lines dropped; the queue must be bounded"
+    );
     open.send(()).unwrap();
-    drop(bounded);
+    drop(appender);
     let text: String = lines.iter().collect();
-    assert!(text.contains(events::LINES_DROPPED), "and said so");
+    assert!(text.contains(events::LINES_DROPPED), "the number of dropped lines is logged");
     assert_eq!(text.lines().filter(|l| l.contains("a line")).count() as u64, 5_000 - dropped);
 }
 
 #[test]
-fn repetition_folded() {
+fn repeated_event_is_rate_limited() {
     let (out, lines) = channel();
-    let bounded = Bounded::new(Pipe { out, gate: None });
+    let appender = QueueAppender::new(GatedPipe { out, gate: None });
     for _ in 0..1_000 {
-        log(&bounded, "T1");
+        log(&appender, "T1");
     }
-    log(&bounded, "T2");
-    bounded.flush().unwrap();
-    drop(bounded);
+    log(&appender, "T2");
+    appender.flush().unwrap();
+    drop(appender);
     let text: String = lines.iter().collect();
     let seen = text.lines().filter(|l| l.contains("\"T1\"") && l.contains("a line")).count();
     assert_eq!(seen, 20);
     assert!(text.contains("\"count\":980"), "{text}");
-    assert!(text.contains("\"T2\""), "another event is not held back");
+    assert!(text.contains("\"T2\""), "another event is not limited");
     for line in text.lines() {
         serde_json::from_str::<serde_json::Value>(line).unwrap();
     }
