--- a/examples/packet.rs
+++ b/examples/packet.rs
@@ -195,7 +195,7 @@
         listen: vip().into(),
         idempotent: false,
         max_flows: 2_000,
-        policy: Policy::Least,
+        policy: Policy::LeastLoaded,
     };
     let entries: Vec<(Arc<str>, SocketAddrV4)> =
         (1..=10).map(|n| (format!("meter-{n}").into(), addr(n))).collect();
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -50,7 +50,7 @@
             listen: SocketAddr::from(([10, 255, 0, 1], 1_000 + i as u16)),
             idempotent: false,
             max_flows: 2_000,
-            policy: Policy::Least,
+            policy: Policy::LeastLoaded,
         };
         let value = serde_json::to_vec(&record::Profile { spec, write_id: 1 }).unwrap();
         insert(&mut copy, keys.profile(&name), value);
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -52,18 +52,18 @@
 /// taken.
 pub async fn run(settings: &Settings, name: &str) -> anyhow::Result<()> {
     let me = settings.target(name)?.clone();
-    let sock = UdpSocket::bind(me.agent)
+    let sock = UdpSocket::bind(me.agent_addr)
         .await
-        .with_context(|| format!("agent {name}: binding {}", me.agent))?;
+        .with_context(|| format!("agent {name}: binding {}", me.agent_addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
     let board = Board::new(format!("agent-{name}").into(), keys.config_prefix().into());
-    let desk = admin::Server::start(me.agent, board.clone()).await?;
+    let desk = admin::Server::start(me.agent_addr, board.clone()).await?;
     let (done, finished) = mpsc::unbounded_channel();
     let agent = Rc::new(RefCell::new(Agent::new(me.clone(), settings, sock, done, board.clone())));
     let (announce, value) = watch::channel(announcement(&me, false)?);
     let key = keys.target(name);
-    let (held, lease_ms) = (store.clone(), settings.agent.lease_ms);
+    let (held, lease_ms) = (store.clone(), settings.agent_timers.lease_ttl_ms);
     let announcer = tokio::task::spawn_local(async move {
         store::lease::maintain(&held, &key, value, lease_ms, &Notify::new()).await;
     });
@@ -82,7 +82,7 @@
         events::AGENT_START,
         me.service,
         me.zone,
-        me.agent
+        me.agent_addr
     );
     let mut inbox = Inbox::new(agent.clone(), finished);
     let mut term = signal(SignalKind::terminate()).context("agent: signal")?;
@@ -113,7 +113,7 @@
         name: me.name.clone(),
         zone: me.zone.clone(),
         service: me.service,
-        agent: me.agent,
+        agent: me.agent_addr,
         stopping: leaving,
     };
     serde_json::to_vec(&rec).context("agent: encoding its announcement")
@@ -162,7 +162,8 @@
     let open = agent.borrow().len();
     log::info!("{} stopping; waiting for {open} open flows", events::AGENT_STOP);
     let start = Instant::now();
-    let (grace, wait) = (ms(settings.agent.grace_ms), ms(settings.agent.stop_ms));
+    let (grace, wait) =
+        (ms(settings.agent_timers.drain_grace_ms), ms(settings.agent_timers.stop_timeout_ms));
     while start.elapsed() < grace || !agent.borrow().is_empty() {
         if start.elapsed() >= grace {
             agent.borrow_mut().close();
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -70,11 +70,11 @@
             drain: None,
             closed: false,
             down: None,
-            grace: Duration::from_millis(settings.agent.grace_ms),
+            grace: Duration::from_millis(settings.agent_timers.drain_grace_ms),
             timers: Timers {
-                idle: Duration::from_millis(settings.agent.idle_ms),
-                rto: Duration::from_millis(settings.agent.rto_ms),
-                give_up: Duration::from_millis(settings.agent.give_up_ms),
+                idle: Duration::from_millis(settings.agent_timers.idle_timeout_ms),
+                rto: Duration::from_millis(settings.agent_timers.rto_ms),
+                give_up: Duration::from_millis(settings.agent_timers.ack_timeout_ms),
             },
             waiting: Waiting::default(),
             done,
@@ -189,7 +189,7 @@
         if self.down.is_some_and(|at| at.elapsed() < DOWN) {
             admit = Admit::Refuse(Refusal::Unreachable);
         }
-        let me = v4(self.me.agent);
+        let me = v4(self.me.agent_addr);
         let offer = p.offer.unwrap_or(Offer { first: me, second: None, stage: OfferStage::Take });
         match place(admit, self.load(max), offer) {
             Step::Take => self.start(p, offer),
@@ -213,13 +213,13 @@
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
         metrics::count_refusal(reason);
         log::info!("{} flow {:x} refused as not run: {reason}", events::AGENT_FLOW_REFUSED, p.flow);
-        let owner = Owner::new(v4(self.me.agent), 0);
+        let owner = Owner::new(v4(self.me.agent_addr), 0);
         self.reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
     }
 
     fn start(&mut self, p: Packet, offer: Offer) {
         let nonce = rand::random::<u16>().max(1);
-        let owner = Owner::new(v4(self.me.agent), nonce);
+        let owner = Owner::new(v4(self.me.agent_addr), nonce);
         let inbox = Mailbox::default();
         let rx = inbox.clone();
         let spec = flow::Spec {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -73,7 +73,7 @@
     let b = b.copied();
     Some(match (attempt, route.spec.policy, b) {
         (1, _, Some(b)) => Offer { first: b, second: Some(a), stage: OfferStage::Take },
-        (0, Policy::Least, _) => Offer { first: a, second: b, stage: OfferStage::Ask },
+        (0, Policy::LeastLoaded, _) => Offer { first: a, second: b, stage: OfferStage::Ask },
         _ => Offer { first: a, second: b, stage: OfferStage::Take },
     })
 }
@@ -97,7 +97,7 @@
     let source = Source {
         store: store.clone(),
         prefix: keys.root_prefix(),
-        peers: settings.peers(me.addr),
+        peers: settings.other_balancers(me.addr),
         peer_fallback: store::mirror::PeerFallback::WhenEmpty,
         batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
@@ -107,13 +107,16 @@
         keys.clone(),
         view.clone(),
         board.clone(),
-        follow::Hold { missing: ms(settings.entry.hold_ms), owners: ms(settings.entry.owner_ms) },
+        follow::Hold {
+            missing: ms(settings.balancer_timers.missing_hold_ms),
+            owners: ms(settings.balancer_timers.owner_retention_ms),
+        },
     ));
     let announcer = tokio::task::spawn_local(announce(
         store.clone(),
         keys.clone(),
         me.clone(),
-        settings.agent.lease_ms,
+        settings.agent_timers.lease_ttl_ms,
     ));
     let mut term = signal(SignalKind::terminate()).context("balancer: signal")?;
     let mut int = signal(SignalKind::interrupt()).context("balancer: signal")?;
@@ -125,7 +128,7 @@
     // A planned stop: say so, and forward what still comes meanwhile.
     board.set_ready(false);
     watcher.abort();
-    let linger = ms(settings.entry.linger_ms);
+    let linger = ms(settings.balancer_timers.linger_ms);
     let _ = tokio::time::timeout(linger, forward(&sock, &view)).await;
     desk.stop().await;
     announcer.abort();
--- a/src/ctl/fleet.rs
+++ b/src/ctl/fleet.rs
@@ -36,8 +36,11 @@
         name: b.name.clone(),
         addr: b.addr,
     });
-    let agents =
-        s.targets.iter().map(|t| Process { role: "agent", name: t.name.clone(), addr: t.agent });
+    let agents = s.targets.iter().map(|t| Process {
+        role: "agent",
+        name: t.name.clone(),
+        addr: t.agent_addr,
+    });
     let fabric = Process { role: "fabric", name: "fabric".into(), addr: s.fabric.addr };
     balancers.chain(agents).chain([fabric]).collect()
 }
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -110,7 +110,7 @@
     /// Fails when the file cannot be read or parsed. The error names a field that
     /// is unknown, of the wrong type or out of range.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
-        crate::settings::load(path, Self::parse)
+        crate::settings::read_file(path, Self::parse)
     }
 
     /// Parses and checks settings from text.
@@ -119,7 +119,7 @@
     ///
     /// As [`Settings::load`], without the file.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
-        let settings: Self = crate::settings::parse(text)?;
+        let settings: Self = crate::settings::parse_jsonc(text)?;
         settings.check()?;
         Ok(settings)
     }
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -53,8 +53,8 @@
     const fn new(f: &FabricSettings) -> Self {
         Self {
             rto: Duration::from_millis(f.rto_ms),
-            open: Duration::from_millis(f.open_ms),
-            give_up: Duration::from_millis(f.give_up_ms),
+            open: Duration::from_millis(f.open_timeout_ms),
+            give_up: Duration::from_millis(f.ack_timeout_ms),
         }
     }
 }
@@ -110,7 +110,7 @@
         let link = (p.listen.port(), f.addr, Timers::new(f));
         tasks.spawn_local(accept(listener, link, spray.clone(), flows.clone()));
     }
-    let every = Duration::from_millis(f.probe_ms);
+    let every = Duration::from_millis(f.probe_interval_ms);
     tasks.spawn_local(rotation::keep(spray.clone(), balancers, every));
     tasks.spawn_local(watch_faults(spray.clone(), flows.clone()));
     let mut term = signal(SignalKind::terminate()).context("fabric: signal")?;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,11 +1,10 @@
-//! Settings of a deployment, read from JSON with comments and checked on load.
+//! Settings of a site, read from JSON with comments and validated on load.
 //!
-//! One file describes a whole site: where the key-value service listens, the
-//! fabric, the balancers, the profiles and the targets with their agents. Each
-//! process is started with the file and its own name, and learns its addresses
-//! and data centre (zone) from it.
+//! One file describes the key-value store, the fabric, the balancers, the
+//! profiles and the targets with their agents. A process finds its addresses and
+//! its data centre (zone) in it by its own name.
 
-mod check;
+mod validate;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,45 +13,47 @@
 use anyhow::Context;
 use serde::Deserialize;
 
-pub use check::check;
+pub use validate::validate;
 
-/// The services that a target can run, named as in the brief.
+/// A service that targets run and profiles offer.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, serde::Serialize, derive_more::Display,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Service {
-    /// Suryakosh's live feed and payment confirmations.
+    /// Live feed and payment confirmations of Suryakosh.
     #[display("meter")]
     Meter,
-    /// Suryakosh's diagnostic uploads.
+    /// Diagnostic uploads of Suryakosh.
     #[display("fieldlog")]
     Fieldlog,
-    /// The Asociación's rate feed and quotes.
+    /// Rate feed and quotes of the Asociación.
     #[display("calculadora")]
     Calculadora,
-    /// The Asociación's manifest checks.
+    /// Manifest checks of the Asociación.
     #[display("validador")]
     Validador,
 }
 
-/// The whole settings file of one site.
+/// The settings file of one site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// The site's name, for logs and reports.
+    /// Name of the site, for logs and reports.
     pub site: Arc<str>,
-    /// The platform's key-value service.
+    /// The key-value store.
     pub store: StoreSettings,
-    /// The fabric stand-in that sprays packets over the balancers.
+    /// The fabric stand-in, which spreads packets over the balancers.
     pub fabric: FabricSettings,
-    /// The agents' timers, shared by every agent of the site.
-    pub agent: AgentSettings,
-    /// The balancers' timers, shared by every balancer of the site.
-    pub entry: EntrySettings,
-    /// The entry VMs.
+    /// Timers of every agent of the site.
+    #[serde(rename = "agent")]
+    pub agent_timers: AgentTimers,
+    /// Timers of every balancer of the site.
+    #[serde(rename = "entry")]
+    pub balancer_timers: BalancerTimers,
+    /// The balancers, one on each entry VM.
     pub balancers: Vec<BalancerSettings>,
-    /// The profiles that the operators declare at start.
+    /// The profiles that `ctl apply` writes to the store.
     pub profiles: Vec<ProfileSettings>,
     /// The target VMs, each with its agent.
     pub targets: Vec<TargetSettings>,
@@ -64,8 +65,8 @@
             site: "local".into(),
             store: StoreSettings::default(),
             fabric: FabricSettings::default(),
-            agent: AgentSettings::default(),
-            entry: EntrySettings::default(),
+            agent_timers: AgentTimers::default(),
+            balancer_timers: BalancerTimers::default(),
             balancers: Vec::new(),
             profiles: Vec::new(),
             targets: Vec::new(),
@@ -73,15 +74,15 @@
     }
 }
 
-/// Where the key-value service listens and how it is used.
+/// Address and use of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreSettings {
-    /// Address of the service's HTTP endpoint.
+    /// Address of the store's HTTP endpoint.
     pub addr: SocketAddr,
-    /// Key prefix under which jujubepost keeps everything.
+    /// Prefix of every key that jujubepost reads or writes.
     pub prefix: Arc<str>,
-    /// Timeout of one call, in milliseconds.
+    /// Timeout of one call.
     pub timeout_ms: u64,
 }
 
@@ -95,22 +96,25 @@
     }
 }
 
-/// The fabric stand-in.
+/// Address and timers of the fabric stand-in.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FabricSettings {
-    /// UDP address at which the fabric takes replies from agents.
+    /// UDP address that receives the replies of agents.
     pub addr: SocketAddr,
-    /// Retransmission timeout for unacknowledged packets, in milliseconds.
+    /// Retransmission timeout of packets.
     pub rto_ms: u64,
-    /// How long a new flow may wait to be accepted, in milliseconds.
-    pub open_ms: u64,
-    /// How long a flow's agent may acknowledge nothing before the fabric
-    /// gives the flow up, in milliseconds.
-    pub give_up_ms: u64,
-    /// How often each balancer is asked whether it is ready, in
-    /// milliseconds; after two misses it is out of rotation.
-    pub probe_ms: u64,
+    /// How long a new flow may wait for an agent to accept it.
+    #[serde(rename = "open_ms")]
+    pub open_timeout_ms: u64,
+    /// How long an agent may acknowledge nothing before the fabric gives its
+    /// flow up.
+    #[serde(rename = "give_up_ms")]
+    pub ack_timeout_ms: u64,
+    /// Interval of the readiness probes to each balancer. After two failures the
+    /// fabric sends the balancer nothing.
+    #[serde(rename = "probe_ms")]
+    pub probe_interval_ms: u64,
 }
 
 impl Default for FabricSettings {
@@ -118,9 +122,9 @@
         Self {
             addr: SocketAddr::from(([127, 0, 0, 1], 7400)),
             rto_ms: 200,
-            open_ms: 3_000,
-            give_up_ms: 10_000,
-            probe_ms: 250,
+            open_timeout_ms: 3_000,
+            ack_timeout_ms: 10_000,
+            probe_interval_ms: 250,
         }
     }
 }
@@ -128,33 +132,37 @@
 /// Timers of the agents.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AgentSettings {
-    /// Lease time to live of a target's announcement, in milliseconds.
-    pub lease_ms: u64,
-    /// How long a draining target still accepts new flows, in milliseconds,
-    /// while the drain spreads to every balancer.
-    pub grace_ms: u64,
-    /// A flow with no packet and no answer for this long is closed, in
-    /// milliseconds.
-    pub idle_ms: u64,
-    /// How long a planned stop waits for open flows, in milliseconds.
-    pub stop_ms: u64,
-    /// Retransmission timeout of answers, in milliseconds.
+pub struct AgentTimers {
+    /// Time to live of the lease on a target's registration. A smaller value
+    /// removes dead targets sooner and tolerates shorter store outages.
+    #[serde(rename = "lease_ms")]
+    pub lease_ttl_ms: u64,
+    /// How long a draining target still accepts new flows, so that every
+    /// balancer learns of the drain first.
+    #[serde(rename = "grace_ms")]
+    pub drain_grace_ms: u64,
+    /// How long a flow may be idle in both directions before it is closed.
+    #[serde(rename = "idle_ms")]
+    pub idle_timeout_ms: u64,
+    /// How long a graceful shutdown waits for open flows.
+    #[serde(rename = "stop_ms")]
+    pub stop_timeout_ms: u64,
+    /// Retransmission timeout of responses.
     pub rto_ms: u64,
-    /// How long a caller may acknowledge nothing before its flow is given
-    /// up, in milliseconds.
-    pub give_up_ms: u64,
+    /// How long a caller may acknowledge nothing before its flow is given up.
+    #[serde(rename = "give_up_ms")]
+    pub ack_timeout_ms: u64,
 }
 
-impl Default for AgentSettings {
+impl Default for AgentTimers {
     fn default() -> Self {
         Self {
-            lease_ms: 3_000,
-            grace_ms: 2_000,
-            idle_ms: 300_000,
-            stop_ms: 30_000,
+            lease_ttl_ms: 3_000,
+            drain_grace_ms: 2_000,
+            idle_timeout_ms: 300_000,
+            stop_timeout_ms: 30_000,
             rto_ms: 200,
-            give_up_ms: 10_000,
+            ack_timeout_ms: 10_000,
         }
     }
 }
@@ -162,25 +170,27 @@
 /// Timers of the balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct EntrySettings {
-    /// How long targets that went missing together are still used, in
-    /// milliseconds of the store answering.
-    pub hold_ms: u64,
-    /// How long the owner of established flows is known after its
-    /// announcement went missing, in milliseconds.
-    pub owner_ms: u64,
-    /// How long a stopping balancer forwards after it said that it is not
-    /// ready, in milliseconds.
+pub struct BalancerTimers {
+    /// How long targets whose registrations disappeared together are still used.
+    /// Only time in which the store responds counts.
+    #[serde(rename = "hold_ms")]
+    pub missing_hold_ms: u64,
+    /// How long packets of established flows are still forwarded to an agent
+    /// whose registration disappeared.
+    #[serde(rename = "owner_ms")]
+    pub owner_retention_ms: u64,
+    /// How long a stopping balancer still forwards packets after it reports that
+    /// it is not ready.
     pub linger_ms: u64,
 }
 
-impl Default for EntrySettings {
+impl Default for BalancerTimers {
     fn default() -> Self {
-        Self { hold_ms: 6_000, owner_ms: 300_000, linger_ms: 1_500 }
+        Self { missing_hold_ms: 6_000, owner_retention_ms: 300_000, linger_ms: 1_500 }
     }
 }
 
-/// One balancer.
+/// Name, zone and address of one balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BalancerSettings {
@@ -188,45 +198,48 @@
     pub name: Arc<str>,
     /// Data centre, such as `gjw-a`.
     pub zone: Arc<str>,
-    /// UDP address at which the balancer takes packets from the fabric.
+    /// UDP address that receives packets from the fabric; the admin server uses
+    /// the same port over TCP.
     pub addr: SocketAddr,
 }
 
-/// One profile as declared at start.
+/// One profile: an address for callers, and how it is balanced.
 #[derive(Clone, Debug, Deserialize, serde::Serialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct ProfileSettings {
     /// Unique name, such as `meter`.
     pub name: Arc<str>,
-    /// The service whose targets serve this profile.
+    /// The service whose targets receive the flows.
     pub service: Service,
-    /// The caller-facing address (the fabric listens here).
+    /// Address to which callers connect.
     pub listen: SocketAddr,
-    /// Whether a request may safely run twice.
+    /// Whether a target may safely execute a request twice.
     #[serde(default)]
     pub idempotent: bool,
-    /// Open flows per target before new ones are refused as not run.
+    /// Largest number of open flows per target; more are refused before the
+    /// target receives any of them.
     #[serde(default = "default_flows")]
     pub max_flows: u32,
-    /// How new flows are placed on targets.
+    /// How a target is chosen for a new flow.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// How a profile's new flows are placed on targets.
+/// How a target is chosen for a new flow.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, serde::Serialize, derive_more::Display,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// On the target that the flow's hash picks.
+    /// The target to which the flow's hash maps.
     #[display("hash")]
     Hash,
-    /// On the less loaded of two targets that the flow's hash picks, by what
-    /// their agents know of themselves.
+    /// The less loaded of the two targets to which the flow's hash maps, by the
+    /// loads that their agents report.
     #[default]
+    #[serde(rename = "least")]
     #[display("least")]
-    Least,
+    LeastLoaded,
 }
 
 const fn default_flows() -> u32 {
@@ -241,21 +254,23 @@
     pub name: Arc<str>,
     /// Data centre, such as `bilbao`.
     pub zone: Arc<str>,
-    /// The service it runs.
+    /// The service that the target runs.
     pub service: Service,
-    /// TCP address of the target itself.
+    /// TCP address of the target.
     pub addr: SocketAddr,
-    /// UDP address of its agent.
-    pub agent: SocketAddr,
-    /// Requests the target works on at once before it sheds load.
+    /// UDP address of the agent; its admin server uses the same port over TCP.
+    #[serde(rename = "agent")]
+    pub agent_addr: SocketAddr,
+    /// Largest number of requests that the target executes at once; it sheds
+    /// those above.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Milliseconds one request takes at the target stand-in when warm.
-    #[serde(default = "default_work")]
-    pub work_ms: u64,
-    /// Milliseconds after start during which the target answers slowly.
-    #[serde(default)]
-    pub cold_ms: u64,
+    /// Time that a target stand-in takes for one request, once warmed up.
+    #[serde(rename = "work_ms", default = "default_work")]
+    pub service_time_ms: u64,
+    /// How long after its start a target stand-in responds slowly.
+    #[serde(rename = "cold_ms", default)]
+    pub warm_up_ms: u64,
 }
 
 const fn default_slots() -> u32 {
@@ -266,24 +281,27 @@
     2
 }
 
-/// Reads a settings file and has `parse` parse and check it.
+/// Reads a settings file and passes its text to `parse`.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be read or `parse` fails; names the file.
-pub fn load<T>(path: &Path, parse: impl FnOnce(&str) -> anyhow::Result<T>) -> anyhow::Result<T> {
+/// Fails when the file cannot be read or `parse` fails. The error names the file.
+pub fn read_file<T>(
+    path: &Path,
+    parse: impl FnOnce(&str) -> anyhow::Result<T>,
+) -> anyhow::Result<T> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("settings: reading {}", path.display()))?;
     parse(&text).with_context(|| format!("settings: in {}", path.display()))
 }
 
-/// Parses JSON with comments.
+/// Deserializes JSON with comments.
 ///
 /// # Errors
 ///
-/// Fails when the text is not JSON with comments, or names the field that is
-/// unknown or of the wrong type.
-pub fn parse<T: serde::de::DeserializeOwned>(text: &str) -> anyhow::Result<T> {
+/// Fails when the syntax is wrong, or when a field is unknown or of the wrong
+/// type. The error names the path of the field.
+pub fn parse_jsonc<T: serde::de::DeserializeOwned>(text: &str) -> anyhow::Result<T> {
     let plain = json_comments::StripComments::new(text.as_bytes());
     let mut de = serde_json::Deserializer::from_reader(plain);
     serde_path_to_error::deserialize(&mut de).map_err(|e| {
@@ -297,40 +315,37 @@
 }
 
 impl Settings {
-    /// Reads, parses and checks a settings file.
+    /// Reads, parses and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read, when it is not JSON with comments,
-    /// when a field is unknown or of the wrong type (the error names the
-    /// field's path), or when [`check`] refuses a value.
+    /// Fails when the file cannot be read, or as [`parse_jsonc`] and [`validate`].
     pub fn load(path: &Path) -> anyhow::Result<Self> {
-        load(path, Self::parse)
+        read_file(path, Self::parse)
     }
 
-    /// Parses and checks settings from text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// As [`Settings::load`], without the file.
+    /// As [`parse_jsonc`] and [`validate`].
     pub fn parse(text: &str) -> anyhow::Result<Self> {
-        let settings: Self = parse(text)?;
-        check(&settings)?;
+        let settings: Self = parse_jsonc(text)?;
+        validate(&settings)?;
         Ok(settings)
     }
 
-    /// The balancers' addresses, but for `me`: whom to ask for a copy of the
-    /// store's keys.
+    /// Addresses of the balancers except `own`.
     #[must_use]
-    pub fn peers(&self, me: SocketAddr) -> Vec<SocketAddr> {
-        self.balancers.iter().map(|b| b.addr).filter(|a| *a != me).collect()
+    pub fn other_balancers(&self, own: SocketAddr) -> Vec<SocketAddr> {
+        self.balancers.iter().map(|b| b.addr).filter(|a| *a != own).collect()
     }
 
-    /// The target of the given name.
+    /// Returns the settings of the target `name`.
     ///
     /// # Errors
     ///
-    /// Fails when no target has that name.
+    /// Fails when there is none.
     pub fn target(&self, name: &str) -> anyhow::Result<&TargetSettings> {
         self.targets
             .iter()
@@ -338,11 +353,11 @@
             .with_context(|| format!("settings: no target named `{name}`"))
     }
 
-    /// The balancer of the given name.
+    /// Returns the settings of the balancer `name`.
     ///
     /// # Errors
     ///
-    /// Fails when no balancer has that name.
+    /// Fails when there is none.
     pub fn balancer(&self, name: &str) -> anyhow::Result<&BalancerSettings> {
         self.balancers
             .iter()
--- a/src/settings/check.rs
+++ b/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Checks on loaded settings that types alone cannot express.
+//! Checks on settings that types cannot express, such as unique names.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -7,30 +7,30 @@
 
 use super::Settings;
 
-/// Refuses settings whose values do not fit together.
+/// Checks that values are in range, and that names and addresses are unique.
 ///
 /// # Errors
 ///
-/// Names the first offending field, for example `targets[2].slots`.
-pub fn check(s: &Settings) -> anyhow::Result<()> {
-    // A zero here would mean a loop without a pause, or giving up at once.
+/// The error names the first invalid field, for example `targets[2].slots`.
+pub fn validate(s: &Settings) -> anyhow::Result<()> {
+    // With zero, loops would run without a pause and flows time out at once.
     let timers = [
         ("store.timeout_ms", s.store.timeout_ms),
         ("fabric.rto_ms", s.fabric.rto_ms),
-        ("fabric.open_ms", s.fabric.open_ms),
-        ("fabric.give_up_ms", s.fabric.give_up_ms),
-        ("fabric.probe_ms", s.fabric.probe_ms),
-        ("agent.rto_ms", s.agent.rto_ms),
-        ("agent.idle_ms", s.agent.idle_ms),
-        ("agent.give_up_ms", s.agent.give_up_ms),
-        ("entry.hold_ms", s.entry.hold_ms),
+        ("fabric.open_ms", s.fabric.open_timeout_ms),
+        ("fabric.give_up_ms", s.fabric.ack_timeout_ms),
+        ("fabric.probe_ms", s.fabric.probe_interval_ms),
+        ("agent.rto_ms", s.agent_timers.rto_ms),
+        ("agent.idle_ms", s.agent_timers.idle_timeout_ms),
+        ("agent.give_up_ms", s.agent_timers.ack_timeout_ms),
+        ("entry.hold_ms", s.balancer_timers.missing_hold_ms),
     ];
     for (field, value) in timers {
         if value == 0 {
             bail!("field `{field}`: must be at least 1");
         }
     }
-    if s.agent.lease_ms < 500 {
+    if s.agent_timers.lease_ttl_ms < 500 {
         bail!("field `agent.lease_ms`: must be at least 500");
     }
     let mut names = HashSet::new();
@@ -66,10 +66,10 @@
         if !addrs.insert(t.addr) {
             bail!("field `targets[{i}].addr`: {} is used twice", t.addr);
         }
-        if !addrs.insert(t.agent) {
-            bail!("field `targets[{i}].agent`: {} is used twice", t.agent);
+        if !addrs.insert(t.agent_addr) {
+            bail!("field `targets[{i}].agent`: {} is used twice", t.agent_addr);
         }
-        if !t.agent.is_ipv4() {
+        if !t.agent_addr.is_ipv4() {
             bail!("field `targets[{i}].agent`: must be an IPv4 address");
         }
     }
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -139,8 +139,8 @@
         inner.load.busy += 1;
         Duration::from_millis(inner.faults.slow_ms)
     };
-    let cold = st.started.elapsed() < Duration::from_millis(st.me.cold_ms);
-    let warm = Duration::from_millis(st.me.work_ms);
+    let cold = st.started.elapsed() < Duration::from_millis(st.me.warm_up_ms);
+    let warm = Duration::from_millis(st.me.service_time_ms);
     let work = slow + if cold { warm + COLD_EXTRA } else { warm };
     let deadline = req
         .headers()
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue lists every numbered event, refusal and retry reason.
+//! The documentation must list every event code, refusal and retry reason.
 
 use jujubepost::metrics::{Refusal, Retry};
 
@@ -7,7 +7,7 @@
 const EVENTS: &str = include_str!("../src/events/mod.rs");
 
 #[test]
-fn every_event_listed() {
+fn every_event_is_documented() {
     let codes: Vec<&str> = EVENTS.lines().filter_map(|l| l.split('"').nth(1)).collect();
     assert!(codes.len() > 20, "{codes:?}");
     for metric in ["refusals_total", "retries_total", "drops_total", "violations_total"] {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_reason_listed() {
+fn every_reason_is_documented() {
     use Refusal::{
         Busy, Draining, ForeignOwner, Full, Lost, NoConfig, NoProfile, NoTarget, Silent,
         TargetEnded, UnknownFlow, Unreachable,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,13 +1,14 @@
-//! Settings files as data: each file under `tests/settings/` starts with a
-//! comment `// expect: ok` or `// expect: <text the error must contain>`.
+//! Valid settings must load, and errors must name the invalid field. Each file
+//! in `tests/settings/` starts with `// expect: ok` or `// expect: <part of the error>`.
 
 use std::path::Path;
 
 use jujubepost::settings::Settings;
 
-fn case(path: &Path, text: String) -> datatest_stable::Result<()> {
-    let first = text.lines().next().unwrap_or_default();
-    let expect = first.strip_prefix("// expect: ").ok_or("first line must be `// expect: ...`")?;
+fn file_meets_expectation(path: &Path, text: String) -> datatest_stable::Result<()> {
+    let first_line = text.lines().next().unwrap_or_default();
+    let expect =
+        first_line.strip_prefix("// expect: ").ok_or("first line must be `// expect: ...`")?;
     let got = Settings::parse(&text);
     match (expect, got) {
         ("ok", Ok(_)) => Ok(()),
@@ -24,12 +25,12 @@
     }
 }
 
-fn examples(path: &Path, text: String) -> datatest_stable::Result<()> {
+fn example_is_valid(path: &Path, text: String) -> datatest_stable::Result<()> {
     Settings::parse(&text).map_err(|e| format!("{}: {e:#}", path.display()))?;
     Ok(())
 }
 
 datatest_stable::harness! {
-    { test = case, root = "tests/settings", pattern = r"\.jsonc$" },
-    { test = examples, root = "examples", pattern = r"\.jsonc$" },
+    { test = file_meets_expectation, root = "tests/settings", pattern = r"\.jsonc$" },
+    { test = example_is_valid, root = "examples", pattern = r"\.jsonc$" },
 }
