--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -1,4 +1,4 @@
-//! Asking another process of the site.
+//! Client of the [`Admin`](super::Admin) service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use super::{AdminClient, Faults, Status};
 use crate::store::Snapshot;
 
-/// A connection to one process of the site.
+/// A connection to the admin server of one process.
 #[derive(Clone, Debug)]
-pub struct Peer {
+pub struct Connection {
     client: AdminClient,
     addr: SocketAddr,
     timeout: Duration,
 }
 
-impl Peer {
-    /// Connects to the process at `addr`; every call times out after
-    /// `timeout`.
+impl Connection {
+    /// Connects to the process at `addr`. `timeout` applies to connecting and to
+    /// each call.
     ///
     /// # Errors
     ///
-    /// Fails when nothing answers at `addr` in time.
+    /// Fails when the connection is refused or times out.
     pub async fn connect(addr: SocketAddr, timeout: Duration) -> anyhow::Result<Self> {
         let conn = tokio::time::timeout(timeout, tcp::connect(addr, Bincode::default))
             .await
-            .with_context(|| format!("admin: connecting to {addr}: timeout"))?
+            .with_context(|| format!("admin: connecting to {addr} timed out"))?
             .with_context(|| format!("admin: connecting to {addr}"))?;
         let client = AdminClient::new(Config::default(), conn).spawn();
         Ok(Self { client, addr, timeout })
@@ -43,52 +43,52 @@
         ctx
     }
 
-    /// What the process is doing.
+    /// Fetches the status and counters of the process.
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes in time, as do the other calls.
-    pub async fn status(&self) -> anyhow::Result<Status> {
+    /// Fails when the connection is lost or the call times out.
+    pub async fn fetch_status(&self) -> anyhow::Result<Status> {
         let res = self.client.status(self.context()).await;
-        res.with_context(|| format!("admin: status of {}", self.addr))
+        res.with_context(|| format!("admin: fetching the status of {}", self.addr))
     }
 
-    /// Whether the process takes new work.
+    /// Asks whether the process accepts new flows.
     ///
     /// # Errors
     ///
-    /// As [`Peer::status`].
-    pub async fn ready(&self) -> anyhow::Result<bool> {
+    /// As [`Connection::fetch_status`].
+    pub async fn fetch_ready(&self) -> anyhow::Result<bool> {
         let res = self.client.ready(self.context()).await;
-        res.with_context(|| format!("admin: readiness of {}", self.addr))
+        res.with_context(|| format!("admin: fetching the readiness of {}", self.addr))
     }
 
-    /// The process's copy of the store's keys.
+    /// Fetches the process's copy of the store's keys.
     ///
     /// # Errors
     ///
-    /// As [`Peer::status`].
-    pub async fn copy(&self) -> anyhow::Result<Arc<Snapshot>> {
-        let res = self.client.copy(self.context()).await;
-        res.with_context(|| format!("admin: copy of {}", self.addr))
+    /// As [`Connection::fetch_status`].
+    pub async fn fetch_snapshot(&self) -> anyhow::Result<Arc<Snapshot>> {
+        let res = self.client.snapshot(self.context()).await;
+        res.with_context(|| format!("admin: fetching the snapshot of {}", self.addr))
     }
 
-    /// Sets the process's injected faults.
+    /// Replaces the injected faults of the process.
     ///
     /// # Errors
     ///
-    /// As [`Peer::status`].
-    pub async fn disturb(&self, faults: Faults) -> anyhow::Result<()> {
-        let res = self.client.disturb(self.context(), faults).await;
-        res.with_context(|| format!("admin: faults of {}", self.addr))
+    /// As [`Connection::fetch_status`].
+    pub async fn set_faults(&self, faults: Faults) -> anyhow::Result<()> {
+        let res = self.client.set_faults(self.context(), faults).await;
+        res.with_context(|| format!("admin: setting the faults of {}", self.addr))
     }
 }
 
-/// Asks one process for its status over a connection of its own.
+/// Fetches the status of the process at `addr` over a new connection.
 ///
 /// # Errors
 ///
-/// As [`Peer::connect`] and [`Peer::status`].
-pub async fn ask(addr: SocketAddr, timeout: Duration) -> anyhow::Result<Status> {
-    Peer::connect(addr, timeout).await?.status().await
+/// As [`Connection::connect`] and [`Connection::fetch_status`].
+pub async fn fetch_status(addr: SocketAddr, timeout: Duration) -> anyhow::Result<Status> {
+    Connection::connect(addr, timeout).await?.fetch_status().await
 }
--- a/src/admin/faults.rs
+++ b/src/admin/faults.rs
@@ -1,15 +1,15 @@
-//! Faults that a process can be told to show, for tests and trials.
+//! Fault injection, for tests and trials.
 
 use std::net::SocketAddr;
 
 use anyhow::ensure;
 use serde::{Deserialize, Serialize};
 
-/// Sets the faults of a stand-in that takes them over HTTP, at `/fault`.
+/// Sets the faults of a stand-in by `POST /fault`.
 ///
 /// # Errors
 ///
-/// Fails when the stand-in at `addr` cannot be reached or refuses them.
+/// Fails when the stand-in at `addr` cannot be reached or rejects the request.
 pub async fn post<T: Serialize>(addr: SocketAddr, faults: &T) -> anyhow::Result<()> {
     let http = ntex::client::Client::new().await;
     let res = http.post(format!("http://{addr}/fault")).send_json(faults).await;
@@ -18,18 +18,23 @@
     Ok(())
 }
 
-/// What the fabric does to packets on their way, in both directions, and what
-/// a balancer does to its view.
+/// Faults of the fabric, in both directions, and of a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Faults {
-    /// Fabric: packets lost, per thousand.
-    pub lose: u32,
-    /// Fabric: packets sent twice, per thousand.
-    pub double: u32,
-    /// Fabric: packets delayed past later ones, per thousand.
-    pub delay: u32,
-    /// Fabric: flows open when this is set go silent for good; new ones work.
-    pub mute: bool,
-    /// Balancer: changes of the store do not reach the view while set.
-    pub blind: bool,
+    /// Fabric: lost packets, per thousand.
+    #[serde(rename = "lose")]
+    pub lost_permille: u32,
+    /// Fabric: packets delivered twice, per thousand.
+    #[serde(rename = "double")]
+    pub duplicated_permille: u32,
+    /// Fabric: packets delayed so that later ones overtake them, per thousand.
+    #[serde(rename = "delay")]
+    pub delayed_permille: u32,
+    /// Fabric: drop every packet of the flows that are open when this is set;
+    /// flows opened later work.
+    #[serde(rename = "mute")]
+    pub mute_flows: bool,
+    /// Balancer: do not apply changes of the store.
+    #[serde(rename = "blind")]
+    pub freeze_view: bool,
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,9 +1,9 @@
-//! What the processes of a site ask each other, over `tarpc`: status and
-//! counters for the operator, readiness for the fabric, and a copy of the
-//! store's keys for a process that starts while the store is down.
+//! Remote procedure calls between the processes of a site, over `tarpc`: status
+//! and counters, readiness, fault injection, and a copy of the store's keys for
+//! processes that start while the store is down.
 //!
-//! Each balancer, agent and fabric serves it over TCP at the same address and
-//! port at which it takes packets over UDP.
+//! The server listens on TCP, at the address and port that the process uses for
+//! UDP packets.
 
 mod client;
 pub mod faults;
@@ -14,123 +14,124 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use client::{Peer, ask};
+pub use client::{Connection, fetch_status};
 pub use faults::Faults;
 pub use server::Server;
 
 use crate::metrics::CounterValue;
 use crate::store::Snapshot;
 
-/// The calls between processes of one site.
+/// Calls that every balancer, agent and fabric answers.
 #[tarpc::service]
 pub trait Admin {
-    /// What the process is doing, with its counters.
+    /// Returns the status and counters.
     async fn status() -> Status;
-    /// Whether the process takes new work.
+    /// Returns whether the process accepts new flows.
     async fn ready() -> bool;
-    /// The process's copy of the store's keys.
-    async fn copy() -> Arc<Snapshot>;
-    /// Sets the process's injected faults.
-    async fn disturb(faults: Faults);
+    /// Returns the process's copy of the store's keys.
+    async fn snapshot() -> Arc<Snapshot>;
+    /// Replaces the injected faults.
+    async fn set_faults(faults: Faults);
 }
 
-/// What a process says of itself.
+/// Status of a process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// The process's name in the settings.
+    /// Name of the process in the settings.
     pub name: Arc<str>,
-    /// Whether it takes new work.
+    /// Whether the process accepts new flows.
     pub ready: bool,
-    /// The store's revision that its view reflects; 0 before the first.
+    /// Store revision of its snapshot; 0 before the first.
     pub rev: i64,
-    /// Stamp of the operators' orders that it applies, as
-    /// [`Snapshot::fingerprint`]; the same in every process once a change is in
-    /// force everywhere.
-    pub orders: u64,
-    /// Open flows it holds (agents; 0 for balancers, which hold none).
+    /// [`Snapshot::fingerprint`] of the operators' configuration that it
+    /// applies; equal in every process once a change is applied everywhere.
+    #[serde(rename = "orders")]
+    pub config_fingerprint: u64,
+    /// Number of open flows; 0 for balancers, which keep no per-flow state.
     pub flows: u32,
-    /// Flows that wait for their target's answer (agents).
+    /// Number of flows that wait for a response of the target; 0 for balancers.
     pub waiting: u32,
-    /// Counter totals since its start.
-    pub counts: Vec<CounterValue>,
+    /// Counter totals since the start of the process.
+    #[serde(rename = "counts")]
+    pub counters: Vec<CounterValue>,
 }
 
-/// The facts that a role publishes and [`Admin`] answers from.
+/// State that a process shares with its admin server. Clones share one state.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct ProcessState {
     name: Arc<str>,
-    config: Arc<str>,
-    inner: Arc<Inner>,
+    config_prefix: Arc<str>,
+    shared: Arc<SharedState>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct SharedState {
     ready: AtomicBool,
     flows: AtomicU32,
     waiting: AtomicU32,
-    copy: Mutex<Arc<Snapshot>>,
+    snapshot: Mutex<Arc<Snapshot>>,
     faults: Mutex<Faults>,
 }
 
-impl Board {
-    /// A board for the process `name`, not ready yet, of a site whose orders
-    /// lie under the prefix `config`.
+impl ProcessState {
+    /// Creates the state of the process `name`, not ready yet. The operators'
+    /// configuration is stored under `config_prefix`.
     #[must_use]
-    pub fn new(name: Arc<str>, config: Arc<str>) -> Self {
-        Self { name, config, inner: Arc::default() }
+    pub fn new(name: Arc<str>, config_prefix: Arc<str>) -> Self {
+        Self { name, config_prefix, shared: Arc::default() }
     }
 
-    /// Says whether the process takes new work.
+    /// Sets whether the process accepts new flows.
     pub fn set_ready(&self, ready: bool) {
-        self.inner.ready.store(ready, Ordering::Relaxed);
+        self.shared.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Whether the process takes new work.
+    /// Whether the process accepts new flows.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        self.inner.ready.load(Ordering::Relaxed)
+    pub fn is_ready(&self) -> bool {
+        self.shared.ready.load(Ordering::Relaxed)
     }
 
-    /// Publishes the open flows and those waiting for their target.
+    /// Sets the numbers of open flows and of those that wait for the target.
     pub fn set_flows(&self, flows: u32, waiting: u32) {
-        self.inner.flows.store(flows, Ordering::Relaxed);
-        self.inner.waiting.store(waiting, Ordering::Relaxed);
+        self.shared.flows.store(flows, Ordering::Relaxed);
+        self.shared.waiting.store(waiting, Ordering::Relaxed);
     }
 
-    /// Publishes a newer copy of the store's keys.
-    pub fn set_copy(&self, copy: Arc<Snapshot>) {
-        *lock(&self.inner.copy) = copy;
+    /// Replaces the copy of the store's keys.
+    pub fn set_snapshot(&self, snapshot: Arc<Snapshot>) {
+        *lock(&self.shared.snapshot) = snapshot;
     }
 
-    /// The latest copy of the store's keys.
+    /// Returns the copy of the store's keys.
     #[must_use]
-    pub fn copy(&self) -> Arc<Snapshot> {
-        lock(&self.inner.copy).clone()
+    pub fn snapshot(&self) -> Arc<Snapshot> {
+        lock(&self.shared.snapshot).clone()
     }
 
-    /// The injected faults now in force.
+    /// Returns the injected faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
-        lock(&self.inner.faults).clone()
+        lock(&self.shared.faults).clone()
     }
 
-    /// Sets the injected faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
-        *lock(&self.inner.faults) = faults;
+        *lock(&self.shared.faults) = faults;
     }
 
-    /// The process's status, with its counters read now.
+    /// Returns the status with the current counter totals.
     #[must_use]
     pub fn status(&self) -> Status {
-        let copy = self.copy();
+        let snapshot = self.snapshot();
         Status {
             name: self.name.clone(),
-            ready: self.ready(),
-            rev: copy.rev,
-            orders: copy.fingerprint(&self.config),
-            flows: self.inner.flows.load(Ordering::Relaxed),
-            waiting: self.inner.waiting.load(Ordering::Relaxed),
-            counts: crate::metrics::counter_values(),
+            ready: self.is_ready(),
+            rev: snapshot.rev,
+            config_fingerprint: snapshot.fingerprint(&self.config_prefix),
+            flows: self.shared.flows.load(Ordering::Relaxed),
+            waiting: self.shared.waiting.load(Ordering::Relaxed),
+            counters: crate::metrics::counter_values(),
         }
     }
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Serving [`Admin`] over TCP.
+//! Server of the [`Admin`] service, over TCP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,42 +10,45 @@
 use tarpc::server::{BaseChannel, Channel};
 use tarpc::tokio_serde::formats::Bincode;
 
-use super::{Admin, Board, Faults, Status};
+use super::{Admin, Faults, ProcessState, Status};
 use crate::store::Snapshot;
 
-/// Calls of one connection answered at the same time.
-const CALLS: usize = 8;
+/// Largest number of calls of one connection that run at once.
+const MAX_CONCURRENT_CALLS: usize = 8;
 
-/// A running server; [`Server::stop`] joins it.
+/// A running admin server. Dropping it leaves the server running; call
+/// [`Server::stop`].
 #[derive(Debug)]
 pub struct Server {
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Server {
-    /// Serves `board` at `addr`.
+    /// Binds `addr` and answers calls from `state`, on the current local task set.
     ///
     /// # Errors
     ///
     /// Fails when the address cannot be bound.
-    pub async fn start(addr: SocketAddr, board: Board) -> anyhow::Result<Self> {
+    pub async fn start(addr: SocketAddr, state: ProcessState) -> anyhow::Result<Self> {
         let mut listener = tcp::listen(addr, Bincode::default)
             .await
             .with_context(|| format!("admin: binding {addr}"))?;
         let task = tokio::task::spawn_local(async move {
-            // Connections end with the set, which ends with this task.
-            let mut open = tokio::task::JoinSet::new();
+            // Dropping the set closes the connections.
+            let mut connections = tokio::task::JoinSet::new();
             while let Some(conn) = listener.next().await {
                 let Ok(conn) = conn else { continue };
-                while open.try_join_next().is_some() {}
-                let calls = BaseChannel::with_defaults(conn).execute(Desk(board.clone()).serve());
-                open.spawn_local(calls.for_each_concurrent(CALLS, |call| call));
+                while connections.try_join_next().is_some() {}
+                let calls =
+                    BaseChannel::with_defaults(conn).execute(AdminServer(state.clone()).serve());
+                connections
+                    .spawn_local(calls.for_each_concurrent(MAX_CONCURRENT_CALLS, |call| call));
             }
         });
         Ok(Self { task })
     }
 
-    /// Stops the server and joins its task.
+    /// Stops the server, closes its connections and waits for its task to end.
     pub async fn stop(self) {
         self.task.abort();
         let _ = self.task.await;
@@ -53,22 +56,22 @@
 }
 
 #[derive(Clone)]
-struct Desk(Board);
+struct AdminServer(ProcessState);
 
-impl Admin for Desk {
+impl Admin for AdminServer {
     async fn status(self, _: Context) -> Status {
         self.0.status()
     }
 
     async fn ready(self, _: Context) -> bool {
-        self.0.ready()
+        self.0.is_ready()
     }
 
-    async fn copy(self, _: Context) -> Arc<Snapshot> {
-        self.0.copy()
+    async fn snapshot(self, _: Context) -> Arc<Snapshot> {
+        self.0.snapshot()
     }
 
-    async fn disturb(self, _: Context, faults: Faults) {
+    async fn set_faults(self, _: Context, faults: Faults) {
         self.0.set_faults(faults);
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -29,7 +29,7 @@
 pub use place::{Step, place};
 use state::Agent;
 
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::settings::{Settings, TargetSettings};
 use crate::store::mirror::{self, MirrorEvent, Source};
 use crate::store::{self, KeyLayout};
@@ -57,7 +57,7 @@
         .with_context(|| format!("agent {name}: binding {}", me.agent_addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
-    let board = Board::new(format!("agent-{name}").into(), keys.config_prefix().into());
+    let board = ProcessState::new(format!("agent-{name}").into(), keys.config_prefix().into());
     let desk = admin::Server::start(me.agent_addr, board.clone()).await?;
     let (done, finished) = mpsc::unbounded_channel();
     let agent = Rc::new(RefCell::new(Agent::new(me.clone(), settings, sock, done, board.clone())));
@@ -180,7 +180,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     agent: Rc<RefCell<Agent>>,
-    board: Board,
+    board: ProcessState,
 ) {
     let name = agent.borrow().name();
     mirror::follow(
@@ -189,7 +189,7 @@
         |news| match news {
             MirrorEvent::Updated(copy) => {
                 agent.borrow_mut().apply_orders(Orders::read(&keys, copy, &name));
-                board.set_copy(std::sync::Arc::new(copy.clone()));
+                board.set_snapshot(std::sync::Arc::new(copy.clone()));
                 board.set_ready(true);
             }
             MirrorEvent::StoreFailed(e) => log::warn!("{} {e:#}", events::AGENT_STORE_UNREACHABLE),
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -16,7 +16,7 @@
 use super::orders::Orders;
 use super::place::{self, give_back, place};
 use super::{Admit, Step, admit, flow};
-use crate::admin::Board;
+use crate::admin::ProcessState;
 use crate::events;
 use crate::metrics::{self, Refusal, Retry};
 use crate::refusal;
@@ -48,7 +48,7 @@
     waiting: Waiting,
     done: mpsc::UnboundedSender<(u64, End)>,
     tasks: JoinSet<()>,
-    board: Board,
+    board: ProcessState,
 }
 
 impl Agent {
@@ -59,7 +59,7 @@
         settings: &Settings,
         sock: UdpSocket,
         done: mpsc::UnboundedSender<(u64, End)>,
-        board: Board,
+        board: ProcessState,
     ) -> Self {
         Self {
             me,
--- a/src/balancer/follow.rs
+++ b/src/balancer/follow.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::{Builder, Roster, View};
-use crate::admin::Board;
+use crate::admin::ProcessState;
 use crate::events;
 use crate::metrics;
 use crate::store::mirror::{MirrorEvent, Snapshot, Source};
@@ -30,7 +30,7 @@
     builder: Builder,
     copy: Arc<Snapshot>,
     view: Rc<RefCell<View>>,
-    board: Board,
+    board: ProcessState,
     built: Instant,
     stale: bool,
 }
@@ -39,14 +39,14 @@
     /// Brings the view up to the copy, unless a fault keeps the balancer
     /// blind.
     fn catch_up(&mut self) {
-        if self.stale && !self.board.faults().blind {
+        if self.stale && !self.board.faults().freeze_view {
             self.stale = false;
             self.rebuild();
-            let back = self.copy.rev < self.board.copy().rev;
+            let back = self.copy.rev < self.board.snapshot().rev;
             metrics::check_invariant(!back, "view_never_reverts", || {
                 format!("to {}", self.copy.rev)
             });
-            self.board.set_copy(self.copy.clone());
+            self.board.set_snapshot(self.copy.clone());
             self.board.set_ready(true);
         }
     }
@@ -70,7 +70,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     view: Rc<RefCell<View>>,
-    board: Board,
+    board: ProcessState,
     hold: Hold,
 ) {
     let roster = Roster::new(hold.missing, hold.owners);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -24,7 +24,7 @@
 pub use roster::Roster;
 pub use view::{Pool, Route, View};
 
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::metrics::{self, Refusal};
 use crate::settings::{BalancerSettings, Policy, Settings};
 use crate::store::mirror::Source;
@@ -92,7 +92,7 @@
     let keys = KeyLayout::new(settings.store.prefix.clone());
     let view = Rc::new(RefCell::new(View::default()));
     log::info!("{} balancer {name} in {} on {}", events::BALANCER_START, me.zone, me.addr);
-    let board = Board::new(me.name.clone(), keys.config_prefix().into());
+    let board = ProcessState::new(me.name.clone(), keys.config_prefix().into());
     let desk = admin::Server::start(me.addr, board.clone()).await?;
     let source = Source {
         store: store.clone(),
--- a/src/ctl/fleet.rs
+++ b/src/ctl/fleet.rs
@@ -48,7 +48,7 @@
 /// Asks every process at once; a silent one has an error.
 pub async fn statuses(s: &Settings) -> Vec<(Process, anyhow::Result<Status>)> {
     let asked = processes(s).into_iter().map(|p| async move {
-        let status = admin::ask(p.addr, ASK).await;
+        let status = admin::fetch_status(p.addr, ASK).await;
         (p, status)
     });
     futures_util::future::join_all(asked).await
@@ -74,7 +74,7 @@
             .filter(|(p, _)| p.role != "fabric")
             .filter_map(|(p, st)| {
                 let st = st.ok()?;
-                (st.orders != stamp).then(|| format!("{} at {}", p.name, st.rev))
+                (st.config_fingerprint != stamp).then(|| format!("{} at {}", p.name, st.rev))
             })
             .collect();
         if behind.is_empty() {
@@ -102,11 +102,11 @@
                     p.name,
                     if s.ready { "ready" } else { "not-ready" },
                     s.rev,
-                    s.orders,
+                    s.config_fingerprint,
                     s.flows,
                     s.waiting
                 );
-                for c in &s.counts {
+                for c in &s.counters {
                     println!("          {c}");
                 }
             }
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -16,7 +16,7 @@
 use super::snapshot::SnapshotReader;
 use super::socket::Socket;
 use super::{Settings, connect_store, pause, relay};
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::flow::Flow;
 use crate::http::{HttpResponse, Server};
 use crate::platform::{self, packet};
@@ -78,7 +78,7 @@
         packets: Socket::bind(settings.packets, "packets of callers").await?,
         bus: Socket::bind(settings.bus_addr(), "messages of agents").await?,
     };
-    let board = Board::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
+    let board = ProcessState::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
     let admin_server = admin::Server::start(settings.bus_addr().into(), board.clone()).await?;
     let ready_server = match settings.ready {
         Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
@@ -120,7 +120,7 @@
 async fn follow_store(
     settings: &Settings,
     steer: &Rc<RefCell<FlowSteering>>,
-    board: &Board,
+    board: &ProcessState,
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let source = Source {
@@ -153,7 +153,7 @@
                 reader.apply_snapshot(&mut steer.borrow_mut(), snapshot);
                 board.set_ready(steer.borrow().is_ready());
                 let snapshot = Arc::new(snapshot.clone());
-                board.set_copy(snapshot.clone());
+                board.set_snapshot(snapshot.clone());
                 snapshots.send_replace(Some(snapshot));
             }
             MirrorEvent::Recovered => {
@@ -189,10 +189,13 @@
     }
 }
 
-async fn serve_readiness(addr: std::net::SocketAddr, board: Board) -> anyhow::Result<Server> {
+async fn serve_readiness(
+    addr: std::net::SocketAddr,
+    board: ProcessState,
+) -> anyhow::Result<Server> {
     Server::start(addr, move |request| {
         HttpResponse::empty(match request.path.as_str() {
-            platform::READY_PATH if board.ready() => StatusCode::OK,
+            platform::READY_PATH if board.is_ready() => StatusCode::OK,
             platform::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         })
@@ -205,7 +208,7 @@
     sockets: &Sockets,
     steer: &RefCell<FlowSteering>,
     caller_port: u16,
-    board: &Board,
+    board: &ProcessState,
     refresh: &Notify,
 ) {
     let mut buf = vec![0; RECV_BUFFER_BYTES];
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -28,7 +28,7 @@
 
 use spray::{Outcome, Spray};
 
-use crate::admin::{self, Board, Faults};
+use crate::admin::{self, Faults, ProcessState};
 use crate::events;
 use crate::settings::{FabricSettings, Settings};
 use crate::wire::{self, Owner, Packet, PacketKind, Reply, ReplyKind};
@@ -95,7 +95,7 @@
     let sock =
         UdpSocket::bind(f.addr).await.with_context(|| format!("fabric: binding {}", f.addr))?;
     let balancers: Vec<SocketAddr> = settings.balancers.iter().map(|b| b.addr).collect();
-    let board = Board::new("fabric".into(), Arc::default());
+    let board = ProcessState::new("fabric".into(), Arc::default());
     board.set_ready(true);
     let desk = admin::Server::start(f.addr, board.clone()).await?;
     let spray = Spray::new(sock, balancers.clone(), board.clone());
@@ -195,7 +195,7 @@
             continue;
         }
         log::warn!("{} faults set to {now:?}", events::FABRIC_FAULTS_SET);
-        match (before.mute, now.mute) {
+        match (before.mute_flows, now.mute_flows) {
             (false, true) => spray.mute(flows.borrow().keys().copied().collect()),
             (true, false) => spray.mute(Default::default()),
             _ => {}
--- a/src/fabric/rotation.rs
+++ b/src/fabric/rotation.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Spray;
-use crate::admin::Peer;
+use crate::admin::Connection;
 use crate::events;
 
 /// Misses in a row that take a balancer out.
@@ -13,17 +13,17 @@
 
 struct Probe {
     addr: SocketAddr,
-    peer: Option<Peer>,
+    peer: Option<Connection>,
     misses: u32,
 }
 
 impl Probe {
     async fn ask(&mut self, timeout: Duration) {
         if self.peer.is_none() {
-            self.peer = Peer::connect(self.addr, timeout).await.ok();
+            self.peer = Connection::connect(self.addr, timeout).await.ok();
         }
         let ready = match &self.peer {
-            Some(peer) => peer.ready().await,
+            Some(peer) => peer.fetch_ready().await,
             None => Ok(false),
         };
         if ready.is_err() {
--- a/src/fabric/spray.rs
+++ b/src/fabric/spray.rs
@@ -8,11 +8,11 @@
 
 use tokio::net::UdpSocket;
 
-use crate::admin::{Board, Faults};
+use crate::admin::{Faults, ProcessState};
 use crate::metrics;
 use crate::wire::{self, Owner, Packet, PacketKind};
 
-/// Longest delay of a packet that [`Faults::delay`] picks, in milliseconds.
+/// Longest delay of a packet that [`Faults::delayed_permille`] picks, in milliseconds.
 const DELAY_MS: u64 = 40;
 
 /// What the faults make of one packet.
@@ -30,12 +30,12 @@
     sock: Rc<UdpSocket>,
     live: Rc<RefCell<Vec<SocketAddr>>>,
     muted: Rc<RefCell<HashSet<u64>>>,
-    board: Board,
+    board: ProcessState,
 }
 
 impl Spray {
     /// A sprayer over `balancers` whose faults are set on `board`.
-    pub fn new(sock: UdpSocket, balancers: Vec<SocketAddr>, board: Board) -> Self {
+    pub fn new(sock: UdpSocket, balancers: Vec<SocketAddr>, board: ProcessState) -> Self {
         Self {
             sock: Rc::new(sock),
             live: Rc::new(RefCell::new(balancers)),
@@ -82,15 +82,15 @@
     /// What the faults make of a packet of `flow`, in either direction.
     pub fn outcome(&self, flow: u64) -> Outcome {
         let f = self.board.faults();
-        if self.muted.borrow().contains(&flow) || hit(f.lose) {
+        if self.muted.borrow().contains(&flow) || hit(f.lost_permille) {
             return Outcome::Lost;
         }
-        Outcome::Arrives(if hit(f.double) { 2 } else { 1 })
+        Outcome::Arrives(if hit(f.duplicated_permille) { 2 } else { 1 })
     }
 
     /// How long a packet is held up, if the faults delay it.
     pub fn held_up(&self) -> Option<Duration> {
-        let late = hit(self.board.faults().delay);
+        let late = hit(self.board.faults().delayed_permille);
         late.then(|| Duration::from_millis(rand::random_range(1..=DELAY_MS)))
     }
 
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -10,7 +10,7 @@
 
 use anyhow::{Context, bail};
 
-use crate::admin::{Faults, Peer, faults};
+use crate::admin::{Connection, Faults, faults};
 use crate::ctl;
 use crate::settings::Settings;
 use crate::store;
@@ -89,8 +89,10 @@
             }
             ["store", "forget"] => Self::store(|f| f.clear_history = true),
             ["store", "lapse"] => Self::store(|f| f.refuse_keepalives = true),
-            ["fabric", "lose", n] => Self::Fabric(Faults { lose: n.parse()?, ..Faults::default() }),
-            ["fabric", "mute"] => Self::Fabric(Faults { mute: true, ..Faults::default() }),
+            ["fabric", "lose", n] => {
+                Self::Fabric(Faults { lost_permille: n.parse()?, ..Faults::default() })
+            }
+            ["fabric", "mute"] => Self::Fabric(Faults { mute_flows: true, ..Faults::default() }),
             ["fabric", "ok"] => Self::Fabric(Faults::default()),
             ["kill", p] => Self::Kill((*p).into()),
             ["stop", p] => Self::Stop((*p).into()),
@@ -133,7 +135,7 @@
 }
 
 async fn disturb(addr: std::net::SocketAddr, faults: &Faults) -> anyhow::Result<()> {
-    Peer::connect(addr, ASK).await?.disturb(faults.clone()).await
+    Connection::connect(addr, ASK).await?.set_faults(faults.clone()).await
 }
 
 /// Has `take` take each step's action at its time.
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{Change, Kv, WatchStore};
-use crate::admin::Peer;
+use crate::admin::Connection;
 use crate::metrics::{self, Retry};
 
 /// Pause before a failed call is retried.
@@ -273,8 +273,8 @@
 }
 
 async fn fetch_peer_snapshot(addr: SocketAddr) -> Option<Arc<Snapshot>> {
-    match Peer::connect(addr, PEER_TIMEOUT).await {
-        Ok(peer) => peer.copy().await,
+    match Connection::connect(addr, PEER_TIMEOUT).await {
+        Ok(peer) => peer.fetch_snapshot().await,
         Err(e) => Err(e),
     }
     .inspect_err(|e| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,7 +45,7 @@
         .await
         .into_iter()
         .filter_map(|(_, st)| st.ok())
-        .flat_map(|st| st.counts)
+        .flat_map(|st| st.counters)
         .filter(|c| c.name == "jujubepost.violations")
         .map(|c| c.value)
         .sum();
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -24,8 +24,8 @@
     site.take(&"thaw lb-0".parse().unwrap()).await.unwrap();
     fleet::in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
-    let status = admin::ask(addr, Duration::from_secs(1)).await.unwrap();
-    let relisted = status.counts.iter().any(|c| c.reason == "watch_compacted" && c.value > 0);
+    let status = admin::fetch_status(addr, Duration::from_secs(1)).await.unwrap();
+    let relisted = status.counters.iter().any(|c| c.reason == "watch_compacted" && c.value > 0);
     assert!(relisted, "{status:?}");
     site.down().await;
 }
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -59,7 +59,7 @@
 async fn orders(s: &Settings) -> Vec<u64> {
     let all = fleet::statuses(s).await;
     let applying = all.into_iter().filter(|(p, _)| p.role != "fabric");
-    applying.map(|(_, st)| st.unwrap().orders).collect()
+    applying.map(|(_, st)| st.unwrap().config_fingerprint).collect()
 }
 
 #[ntex::test]
--- a/tests/lossy.rs
+++ b/tests/lossy.rs
@@ -6,14 +6,14 @@
 
 use std::time::Duration;
 
-use jujubepost::admin::{Faults, Peer};
+use jujubepost::admin::{Connection, Faults};
 use jujubepost::bench::{self, Load};
 
 async fn disturbed(name: &str, base: u16, faults: Faults) {
     let site = common::start(name, base, 3, 3, 2).await;
     let s = site.settings.clone();
-    let fabric = Peer::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
-    fabric.disturb(faults).await.unwrap();
+    let fabric = Connection::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
+    fabric.set_faults(faults).await.unwrap();
     let args = Load { feeds: 10, requests: 100, secs: 4, ..Load::default() };
     let rows = bench::measure(&s, &args).await;
     for r in &rows {
@@ -24,21 +24,26 @@
 
 #[ntex::test]
 async fn lost() {
-    disturbed("lossy", 26500, Faults { lose: 50, ..Faults::default() }).await;
+    disturbed("lossy", 26500, Faults { lost_permille: 50, ..Faults::default() }).await;
 }
 
 #[ntex::test]
 async fn doubled() {
-    disturbed("doubled", 27000, Faults { double: 300, ..Faults::default() }).await;
+    disturbed("doubled", 27000, Faults { duplicated_permille: 300, ..Faults::default() }).await;
 }
 
 #[ntex::test]
 async fn out_of_order() {
-    disturbed("reorder", 27500, Faults { delay: 300, ..Faults::default() }).await;
+    disturbed("reorder", 27500, Faults { delayed_permille: 300, ..Faults::default() }).await;
 }
 
 #[ntex::test]
 async fn all_at_once() {
-    let faults = Faults { lose: 30, double: 100, delay: 200, ..Faults::default() };
+    let faults = Faults {
+        lost_permille: 30,
+        duplicated_permille: 100,
+        delayed_permille: 200,
+        ..Faults::default()
+    };
     disturbed("mixed", 28000, faults).await;
 }
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -89,9 +89,17 @@
 fn cases() -> Vec<Case> {
     use Harm::{None, OwnerDies, Sheds};
     let blind = |blind| {
-        vec![Action::Balancer("lb-1".into(), admin::Faults { blind, ..Default::default() })]
+        vec![Action::Balancer(
+            "lb-1".into(),
+            admin::Faults { freeze_view: blind, ..Default::default() },
+        )]
+    };
+    let noise = admin::Faults {
+        lost_permille: 30,
+        duplicated_permille: 100,
+        delayed_permille: 200,
+        ..Default::default()
     };
-    let noise = admin::Faults { lose: 30, double: 100, delay: 200, ..Default::default() };
     vec![
         case("none", None, &[], &[]),
         case("balancer killed", None, &["kill lb-1"], &["start lb-1"]),
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -38,7 +38,12 @@
 fn pick(rng: &mut StdRng, round: u32) -> Fault {
     let lb = format!("lb-{}", rng.random_range(0..3));
     let target = format!("meter-{}", rng.random_range(1..5));
-    let noise = Faults { lose: 20, double: 50, delay: 100, ..Faults::default() };
+    let noise = Faults {
+        lost_permille: 20,
+        duplicated_permille: 50,
+        delayed_permille: 100,
+        ..Faults::default()
+    };
     let slow = target::Faults { slow_ms: 20, ..target::Faults::default() };
     let one = |on: &str, off: &str| fault(&[on.to_string()], &[off.to_string()]);
     match rng.random_range(0..14) {
@@ -63,7 +68,10 @@
             off: vec![Action::Target(target, target::Faults::default())],
         },
         12 => Fault {
-            on: vec![Action::Balancer(lb.clone(), Faults { blind: true, ..Faults::default() })],
+            on: vec![Action::Balancer(
+                lb.clone(),
+                Faults { freeze_view: true, ..Faults::default() },
+            )],
             off: vec![Action::Balancer(lb, Faults::default())],
         },
         _ => one(&format!("limit meter {}", 1_000 + round), "store ok"),
