--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -103,8 +103,8 @@
         for i in 0..rate * CHANGES_S {
             let at = Duration::from_secs_f64(f64::from(i) / f64::from(rate));
             tokio::time::sleep_until((t0 + at).into()).await;
-            ctl::limit(&s, "meter", 1_000 + i).await.unwrap();
-            took.push(fleet::in_force(&s, Duration::from_secs(5)).await.unwrap());
+            ctl::set_flow_limit(&s, "meter", 1_000 + i).await.unwrap();
+            took.push(fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap());
         }
         tokio::time::sleep_until((t0 + Duration::from_secs(u64::from(CHANGES_S))).into()).await;
         let secs = t0.elapsed().as_secs_f64();
--- a/src/ctl/fleet.rs
+++ b/src/ctl/fleet.rs
@@ -1,5 +1,5 @@
-//! What the processes of a site say of themselves: their status, and from
-//! when on a change is in force everywhere.
+//! Status of all processes of a site, and waiting until a change is in force on
+//! every one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,24 +11,24 @@
 use crate::settings::Settings;
 use crate::store::{self, KeyLayout, Snapshot};
 
-/// How long one process may take to answer.
-const ASK: Duration = Duration::from_millis(500);
+/// Timeout of a status call to one process.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between two rounds of asking.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two rounds of status calls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One process of the site, as the settings name it.
+/// A process of the site with an admin server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Process {
     /// `balancer`, `agent` or `fabric`.
     pub role: &'static str,
-    /// Its name.
+    /// Name in the settings.
     pub name: Arc<str>,
-    /// Where it answers.
+    /// Address of its admin server.
     pub addr: SocketAddr,
 }
 
-/// Every process of the site that can be asked.
+/// Lists the balancers, the agents and the fabric of the site.
 #[must_use]
 pub fn processes(s: &Settings) -> Vec<Process> {
     let balancers = s.balancers.iter().map(|b| Process {
@@ -45,55 +45,56 @@
     balancers.chain(agents).chain([fabric]).collect()
 }
 
-/// Asks every process at once; a silent one has an error.
-pub async fn statuses(s: &Settings) -> Vec<(Process, anyhow::Result<Status>)> {
-    let asked = processes(s).into_iter().map(|p| async move {
-        let status = admin::fetch_status(p.addr, ASK).await;
+/// Fetches the status of every process concurrently. A process that does not
+/// respond has an error in its place.
+pub async fn fetch_statuses(s: &Settings) -> Vec<(Process, anyhow::Result<Status>)> {
+    let calls = processes(s).into_iter().map(|p| async move {
+        let status = admin::fetch_status(p.addr, CALL_TIMEOUT).await;
         (p, status)
     });
-    futures_util::future::join_all(asked).await
+    futures_util::future::join_all(calls).await
 }
 
-/// Waits until every balancer and agent that answers applies the orders now in
-/// the store; returns how long that took.
+/// Waits until every balancer and agent that responds applies the configuration
+/// that is now in the store. Returns how long that took.
 ///
 /// # Errors
 ///
-/// Fails when the store cannot be read or, naming the processes that lag,
-/// when `timeout` passes first.
-pub async fn in_force(s: &Settings, timeout: Duration) -> anyhow::Result<Duration> {
+/// Fails when the store cannot be read, or when `timeout` passes first; the error
+/// then names the processes that lag behind.
+pub async fn wait_in_force(s: &Settings, timeout: Duration) -> anyhow::Result<Duration> {
     let start = Instant::now();
     let prefix = KeyLayout::new(s.store.prefix.clone()).config_prefix();
     let store = store::Client::new(s.store.addr, Duration::from_millis(s.store.timeout_ms)).await;
-    let want = Snapshot::list(&store, &prefix).await?;
-    let stamp = want.fingerprint(&prefix);
+    let expected = Snapshot::list(&store, &prefix).await?;
+    let fingerprint = expected.fingerprint(&prefix);
     loop {
-        let behind: Vec<String> = statuses(s)
+        let lagging: Vec<String> = fetch_statuses(s)
             .await
             .into_iter()
             .filter(|(p, _)| p.role != "fabric")
             .filter_map(|(p, st)| {
                 let st = st.ok()?;
-                (st.config_fingerprint != stamp).then(|| format!("{} at {}", p.name, st.rev))
+                (st.config_fingerprint != fingerprint).then(|| format!("{} at {}", p.name, st.rev))
             })
             .collect();
-        if behind.is_empty() {
+        if lagging.is_empty() {
             return Ok(start.elapsed());
         }
         if start.elapsed() >= timeout {
             bail!(
-                "ctl: orders of revision {} not in force within {timeout:?}: {}",
-                want.rev,
-                behind.join(", ")
+                "ctl: configuration of revision {} not in force within {timeout:?}: {}",
+                expected.rev,
+                lagging.join(", ")
             );
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints one line a process, then its counters.
-pub fn print(rows: &[(Process, anyhow::Result<Status>)]) {
-    for (p, status) in rows {
+/// Prints one line for each process, followed by its counters.
+pub fn print_statuses(statuses: &[(Process, anyhow::Result<Status>)]) {
+    for (p, status) in statuses {
         match status {
             Ok(s) => {
                 println!(
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,10 +1,9 @@
-//! The operator's tool: declare and change profiles, take targets out of
-//! service and back, show status, and set the store stand-in's faults.
+//! Operator commands: change profiles, drain and resume targets, print status,
+//! and set the faults of the store stand-in.
 //!
-//! A profile change is a compare-and-swap on the profile's revision: of two
-//! operators who change the same profile from the same revision, exactly one
-//! wins and the other gets a conflict error. A write whose answer is lost is
-//! read back: each write carries a random `writer` identifier.
+//! A profile is written by compare-and-swap on its revision: of two concurrent
+//! changes from the same revision, exactly one succeeds. Each write carries a
+//! random identifier, so that one whose response was lost can be confirmed.
 
 pub mod fleet;
 
@@ -28,29 +27,29 @@
     /// Settings file (JSON with comments).
     #[arg(long, required_unless_present = "at")]
     pub config: Option<PathBuf>,
-    /// For `beliefs`: the process's VM and metrics port.
+    /// For `beliefs`: address of the process's VM and its metrics port.
     #[arg(long)]
     pub at: Option<SocketAddr>,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The operator's commands.
+/// A command of the operator.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Writes every profile of the settings file whose stored form differs.
+    /// Writes every profile of the settings file that differs from the stored one.
     Apply,
-    /// Writes one profile from the settings file, only if its stored
-    /// revision is still `rev` (0: it must not exist yet).
+    /// Writes one profile of the settings file if its stored revision is still
+    /// `rev` (0: it must not exist yet).
     Put {
-        /// The profile's name in the settings file.
+        /// Name of the profile in the settings file.
         name: String,
-        /// The revision the change is based on, as `status` shows it.
+        /// Revision on which the change is based, as `status` prints it.
         #[arg(long)]
         rev: i64,
     },
-    /// Takes a target out of service: no new flows after the grace.
+    /// Takes a target out of service: after the drain grace it accepts no new flows.
     Drain {
         /// The target's name.
         target: String,
@@ -60,39 +59,38 @@
         /// The target's name.
         target: String,
     },
-    /// Prints profiles with their revisions, targets and drains, then what
-    /// each process says of itself, with its counters.
+    /// Prints profiles with their revisions, targets and drains from the store, then
+    /// the status and counters of each process.
     Status,
-    /// Prints what a process on the platform (`--at`) believes and how old it
-    /// is: configuration, agents or target and, for one flow, where it goes
-    /// and by which rule.
+    /// Prints the state of a platform process (`--at`) and its age: configuration,
+    /// agents or target and, for one flow, where it goes and by which rule.
     Beliefs {
-        /// A flow as logs write it: `CALLER>SERVICE`, addresses with ports.
+        /// A flow as in the logs: `CALLER>SERVICE`, addresses with ports.
         #[arg(long)]
         flow: Option<Flow>,
     },
-    /// Waits until the orders now in the store are in force in every balancer
-    /// and agent that answers.
+    /// Waits until the configuration now in the store is in force on every balancer
+    /// and agent that responds.
     Wait {
-        /// Give up after this long, in milliseconds.
+        /// Timeout, in milliseconds.
         #[arg(long, default_value_t = 10_000)]
         timeout_ms: u64,
     },
-    /// Sets the store stand-in's injected faults.
+    /// Replaces the injected faults of the store stand-in.
     Fault {
-        /// Every call fails while set.
+        /// Fail every call.
         #[arg(long)]
         outage: bool,
-        /// Every answer comes this late, in milliseconds.
+        /// Delay of every response, in milliseconds.
         #[arg(long, default_value_t = 0)]
         delay_ms: u64,
-        /// The next N writes take effect but lose their answer.
+        /// Number of next writes that take effect but whose response is lost.
         #[arg(long, default_value_t = 0)]
         lose: u32,
-        /// Keepalives are refused so leases lapse.
+        /// Refuse keepalives, so that leases expire.
         #[arg(long)]
         lapse: bool,
-        /// The history kept for watches is forgotten at once.
+        /// Clear the history kept for watches, once.
         #[arg(long)]
         forget: bool,
     },
@@ -100,58 +98,58 @@
 
 /// The outcome of a compare-and-swap write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     /// The write took effect.
     Written,
-    /// Another change came first; nothing was written.
+    /// Another change came first, and nothing was written.
     Conflict,
 }
 
-/// Runs one operator command.
+/// Runs one command.
 ///
 /// # Errors
 ///
-/// Fails when the settings are bad, the store cannot be reached, or a change
-/// lost a race (conflict).
+/// Fails when the settings are invalid, the store cannot be reached, or a
+/// profile was changed concurrently (conflict).
 pub async fn run(args: Args) -> anyhow::Result<()> {
     if let Command::Beliefs { flow } = args.command {
         let at = args.at.context("ctl: `beliefs` needs --at VM:PORT")?;
-        return beliefs(at, flow).await;
+        return print_beliefs(at, flow).await;
     }
     let config = args.config.context("ctl: this command needs --config")?;
     let settings = Settings::load(&config)?;
-    let (store, keys) = open(&settings).await;
+    let (store, keys) = open_store(&settings).await;
     match args.command {
-        Command::Apply => apply(&store, &keys, &settings.profiles).await,
+        Command::Apply => apply_profiles(&store, &keys, &settings.profiles).await,
         Command::Put { name, rev } => {
             let spec = settings
                 .profiles
                 .iter()
                 .find(|p| *p.name == *name)
                 .with_context(|| format!("ctl: no profile `{name}` in the settings"))?;
-            match put(&store, &keys, spec, rev).await? {
-                Outcome::Written => Ok(()),
-                Outcome::Conflict => {
+            match write_profile(&store, &keys, spec, rev).await? {
+                WriteOutcome::Written => Ok(()),
+                WriteOutcome::Conflict => {
                     bail!("ctl: profile `{name}` changed since revision {rev}: conflict")
                 }
             }
         }
         Command::Beliefs { .. } => Ok(()),
-        Command::Drain { target } => drain(&settings, &target).await,
-        Command::Resume { target } => resume(&settings, &target).await,
+        Command::Drain { target } => drain_target(&settings, &target).await,
+        Command::Resume { target } => resume_target(&settings, &target).await,
         Command::Status => {
-            // The store may be down: the processes still answer.
-            let stored = status(&store, &keys).await;
-            fleet::print(&fleet::statuses(&settings).await);
+            // The processes respond even when the store is down.
+            let stored = print_store(&store, &keys).await;
+            fleet::print_statuses(&fleet::fetch_statuses(&settings).await);
             stored
         }
         Command::Wait { timeout_ms } => {
-            let took = fleet::in_force(&settings, Duration::from_millis(timeout_ms)).await?;
+            let took = fleet::wait_in_force(&settings, Duration::from_millis(timeout_ms)).await?;
             println!("in force everywhere after {took:?}");
             Ok(())
         }
         Command::Fault { outage, delay_ms, lose, lapse, forget } => {
-            fault(
+            set_store_faults(
                 &settings,
                 &Faults {
                     outage,
@@ -166,78 +164,76 @@
     }
 }
 
-/// Prints what the process at `at` believes.
-async fn beliefs(at: SocketAddr, flow: Option<Flow>) -> anyhow::Result<()> {
+/// Prints the state of the process at `at` as JSON.
+async fn print_beliefs(at: SocketAddr, flow: Option<Flow>) -> anyhow::Result<()> {
     let query = flow.map(|f| format!("?flow={f}").replace('>', "%3E")).unwrap_or_default();
     let client = ntex::client::Client::new().await;
     let res = client.get(format!("http://{at}/beliefs{query}")).send().await;
-    let res = res.map_err(|e| anyhow::anyhow!("ctl: asking {at}: {e}"))?;
+    let res = res.map_err(|e| anyhow::anyhow!("ctl: fetching the state of {at}: {e}"))?;
     let body: serde_json::Value =
-        res.json().await.map_err(|e| anyhow::anyhow!("ctl: answer of {at}: {e}"))?;
+        res.json().await.map_err(|e| anyhow::anyhow!("ctl: decoding the response of {at}: {e}"))?;
     println!("{body:#}");
     Ok(())
 }
 
-/// A client of the site's store, and its keys.
-async fn open(s: &Settings) -> (store::Client, KeyLayout) {
+/// Returns a client of the site's store and the layout of its keys.
+async fn open_store(s: &Settings) -> (store::Client, KeyLayout) {
     let timeout = Duration::from_millis(s.store.timeout_ms);
     (store::Client::new(s.store.addr, timeout).await, KeyLayout::new(s.store.prefix.clone()))
 }
 
-/// Takes a target out of service.
+/// Writes a drain order for a target.
 ///
 /// # Errors
 ///
-/// Fails when the target is not in the settings or the store cannot be
-/// reached.
-pub async fn drain(s: &Settings, target: &str) -> anyhow::Result<()> {
+/// Fails when the target is not in the settings or the store cannot be reached.
+pub async fn drain_target(s: &Settings, target: &str) -> anyhow::Result<()> {
     s.target(target)?;
-    let (store, keys) = open(s).await;
+    let (store, keys) = open_store(s).await;
     let since_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
     let value = serde_json::to_vec(&record::Drain { since_ms })?;
     store.put(&keys.drain_order(target), &value, 0).await?;
-    log::info!("{} target {target} drains", events::CTL_WRITTEN);
+    log::info!("{} drain order for target {target} written", events::CTL_WRITTEN);
     Ok(())
 }
 
-/// Puts a drained target back in service.
+/// Deletes the drain order of a target, which puts it back in service.
 ///
 /// # Errors
 ///
-/// As [`drain`].
-pub async fn resume(s: &Settings, target: &str) -> anyhow::Result<()> {
+/// As [`drain_target`].
+pub async fn resume_target(s: &Settings, target: &str) -> anyhow::Result<()> {
     s.target(target)?;
-    let (store, keys) = open(s).await;
+    let (store, keys) = open_store(s).await;
     store.delete(&keys.drain_order(target)).await?;
-    log::info!("{} target {target} back in service", events::CTL_WRITTEN);
+    log::info!("{} drain order for target {target} deleted", events::CTL_WRITTEN);
     Ok(())
 }
 
-/// Sets the flow limit of a profile, based on its present revision.
+/// Sets the flow limit of a profile in the store.
 ///
 /// # Errors
 ///
-/// Fails when the profile is not in the store, the store cannot be reached,
-/// or another operator changed the profile meanwhile.
-pub async fn limit(s: &Settings, profile: &str, flows: u32) -> anyhow::Result<()> {
-    let (store, keys) = open(s).await;
+/// Fails when the profile is not in the store, the store cannot be reached, or
+/// the profile was changed concurrently.
+pub async fn set_flow_limit(s: &Settings, profile: &str, flows: u32) -> anyhow::Result<()> {
+    let (store, keys) = open_store(s).await;
     let key = keys.profile(profile);
     let kv = store.get(&key).await?.with_context(|| format!("ctl: no profile `{profile}`"))?;
     let rec: record::Profile = serde_json::from_slice(&kv.value)?;
     let spec = ProfileSettings { max_flows: flows, ..rec.spec };
-    match put(&store, &keys, &spec, kv.rev).await? {
-        Outcome::Written => Ok(()),
-        Outcome::Conflict => bail!("ctl: profile `{profile}` changed meanwhile: conflict"),
+    match write_profile(&store, &keys, &spec, kv.rev).await? {
+        WriteOutcome::Written => Ok(()),
+        WriteOutcome::Conflict => bail!("ctl: profile `{profile}` changed meanwhile: conflict"),
     }
 }
 
-/// Writes each profile whose stored form differs, based on the revision just
-/// read.
+/// Writes each profile that differs from the stored one.
 ///
 /// # Errors
 ///
-/// Fails when the store cannot be reached or a profile changed meanwhile.
-pub async fn apply(
+/// Fails when the store cannot be reached or a profile was changed concurrently.
+pub async fn apply_profiles(
     store: &store::Client,
     keys: &KeyLayout,
     profiles: &[ProfileSettings],
@@ -245,58 +241,61 @@
     for spec in profiles {
         let current = store.get(&keys.profile(&spec.name)).await?;
         let rev = current.as_ref().map_or(0, |kv| kv.rev);
-        let same = current
+        let is_current = current
             .and_then(|kv| serde_json::from_slice::<record::Profile>(&kv.value).ok())
             .is_some_and(|p| p.spec == *spec);
-        if same {
+        if is_current {
             continue;
         }
-        if put(store, keys, spec, rev).await? == Outcome::Conflict {
+        if write_profile(store, keys, spec, rev).await? == WriteOutcome::Conflict {
             bail!("ctl: profile `{}` changed while applying: conflict", spec.name);
         }
     }
     Ok(())
 }
 
-/// Writes one profile if its revision is still `rev`.
+/// Writes one profile if its stored revision is still `rev`.
 ///
 /// # Errors
 ///
-/// Fails when the store cannot be reached and the write cannot be confirmed.
-pub async fn put(
+/// Fails when the write fails and reading the profile back fails too, so that
+/// the outcome is unknown.
+pub async fn write_profile(
     store: &store::Client,
     keys: &KeyLayout,
     spec: &ProfileSettings,
     rev: i64,
-) -> anyhow::Result<Outcome> {
+) -> anyhow::Result<WriteOutcome> {
     let key = keys.profile(&spec.name);
     let rec = record::Profile { spec: spec.clone(), write_id: rand::random() };
     let value = serde_json::to_vec(&rec)?;
     let outcome = match store.compare_and_swap(&key, &value, rev).await {
-        Ok(true) => Outcome::Written,
-        Ok(false) => Outcome::Conflict,
+        Ok(true) => WriteOutcome::Written,
+        Ok(false) => WriteOutcome::Conflict,
         Err(e) => {
-            // The answer may be lost after the write took effect: read back.
-            let now = store
+            // The write may have taken effect although its response was lost.
+            let stored = store
                 .get(&key)
                 .await
-                .with_context(|| format!("ctl: confirming {key} after: {e:#}"))?;
-            let mine = now
+                .with_context(|| format!("ctl: reading {key} back after a failed write: {e:#}"))?;
+            let is_own_write = stored
                 .and_then(|kv| serde_json::from_slice::<record::Profile>(&kv.value).ok())
                 .is_some_and(|p| p.write_id == rec.write_id);
-            if mine { Outcome::Written } else { Outcome::Conflict }
+            if is_own_write { WriteOutcome::Written } else { WriteOutcome::Conflict }
         }
     };
     match outcome {
-        Outcome::Written => log::info!("{} profile {} written", events::CTL_WRITTEN, spec.name),
-        Outcome::Conflict => {
+        WriteOutcome::Written => {
+            log::info!("{} profile {} written", events::CTL_WRITTEN, spec.name)
+        }
+        WriteOutcome::Conflict => {
             log::warn!("{} profile {} not written: conflict", events::CTL_CONFLICT, spec.name)
         }
     }
     Ok(outcome)
 }
 
-async fn status(store: &store::Client, keys: &KeyLayout) -> anyhow::Result<()> {
+async fn print_store(store: &store::Client, keys: &KeyLayout) -> anyhow::Result<()> {
     let (rev, kvs) = store.list(&keys.root_prefix()).await?;
     println!("store revision {rev}");
     for kv in kvs {
@@ -307,11 +306,11 @@
     Ok(())
 }
 
-/// Sets the store stand-in's faults.
+/// Replaces the injected faults of the store stand-in.
 ///
 /// # Errors
 ///
 /// Fails when the stand-in cannot be reached.
-pub async fn fault(settings: &Settings, faults: &Faults) -> anyhow::Result<()> {
-    admin::faults::post(settings.store.addr, faults).await.context("ctl: the store stand-in")
+pub async fn set_store_faults(settings: &Settings, faults: &Faults) -> anyhow::Result<()> {
+    admin::faults::post(settings.store.addr, faults).await.context("ctl: store stand-in")
 }
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -120,10 +120,10 @@
     /// themselves.
     pub async fn take(&self, s: &Settings) -> anyhow::Result<()> {
         match self {
-            Self::Drain(t) => ctl::drain(s, t).await,
-            Self::Resume(t) => ctl::resume(s, t).await,
-            Self::Limit(profile, flows) => ctl::limit(s, profile, *flows).await,
-            Self::Store(faults) => ctl::fault(s, faults).await,
+            Self::Drain(t) => ctl::drain_target(s, t).await,
+            Self::Resume(t) => ctl::resume_target(s, t).await,
+            Self::Limit(profile, flows) => ctl::set_flow_limit(s, profile, *flows).await,
+            Self::Store(faults) => ctl::set_store_faults(s, faults).await,
             Self::Fabric(faults) => disturb(s.fabric.addr, faults).await,
             Self::Balancer(name, faults) => disturb(s.balancer(name)?.addr, faults).await,
             Self::Target(name, faults) => faults::post(s.target(name)?.addr, faults).await,
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -99,7 +99,7 @@
             if Instant::now() > deadline {
                 bail!("up: site {} not up within {READY:?}", s.site);
             }
-            if crate::ctl::apply(&store, &keys, &s.profiles).await.is_ok()
+            if crate::ctl::apply_profiles(&store, &keys, &s.profiles).await.is_ok()
                 && let Ok((_, kvs)) = store.list(&keys.root_prefix()).await
             {
                 let count = |kind| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,7 +41,7 @@
 /// Invariants that the site's processes broke: as the living ones count them,
 /// and as any of them logged.
 pub async fn violations(site: &Site) -> u64 {
-    let counted: u64 = fleet::statuses(&site.settings)
+    let counted: u64 = fleet::fetch_statuses(&site.settings)
         .await
         .into_iter()
         .filter_map(|(_, st)| st.ok())
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -22,7 +22,7 @@
     // revision that is no longer in the history.
     "store forget".parse::<Action>().unwrap().take(&s).await.unwrap();
     site.take(&"thaw lb-0".parse().unwrap()).await.unwrap();
-    fleet::in_force(&s, Duration::from_secs(5)).await.unwrap();
+    fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
     let status = admin::fetch_status(addr, Duration::from_secs(1)).await.unwrap();
     let relisted = status.counters.iter().any(|c| c.reason == "watch_compacted" && c.value > 0);
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use jujubepost::bench::{self, Load};
-use jujubepost::ctl::{self, Outcome, fleet};
+use jujubepost::ctl::{self, WriteOutcome, fleet};
 use jujubepost::settings::Settings;
 use jujubepost::store::{self, Faults, KeyLayout, Snapshot};
 
@@ -20,7 +20,7 @@
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
     let mut spec = s.profiles[0].clone();
     spec.max_flows = flows;
-    assert_eq!(ctl::put(&store, &keys, &spec, rev).await.unwrap(), Outcome::Written);
+    assert_eq!(ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(), WriteOutcome::Written);
 }
 
 /// Waits until feeds that have ended are closed at the agents as well, which is
@@ -29,7 +29,7 @@
 async fn closed(s: &Settings) {
     let all_closed = async {
         loop {
-            let all = fleet::statuses(s).await;
+            let all = fleet::fetch_statuses(s).await;
             if all.iter().all(|(_, st)| st.as_ref().is_ok_and(|st| st.flows == 0)) {
                 return;
             }
@@ -57,7 +57,7 @@
 
 /// The orders that each balancer and agent applies.
 async fn orders(s: &Settings) -> Vec<u64> {
-    let all = fleet::statuses(s).await;
+    let all = fleet::fetch_statuses(s).await;
     let applying = all.into_iter().filter(|(p, _)| p.role != "fabric");
     applying.map(|(_, st)| st.unwrap().config_fingerprint).collect()
 }
@@ -68,7 +68,7 @@
     let s = site.settings.clone();
     assert_eq!(answered(&s, 2).await, (10, 0));
     limit(&s, 2).await;
-    fleet::in_force(&s, BOUND).await.unwrap();
+    fleet::wait_in_force(&s, BOUND).await.unwrap();
     assert_eq!(answered(&s, 2).await, (0, 10));
 }
 
@@ -77,9 +77,9 @@
     let mut site = common::start("joins", 26000, 2, 1, 0).await;
     let s = site.settings.clone();
     limit(&s, 2).await;
-    fleet::in_force(&s, BOUND).await.unwrap();
+    fleet::wait_in_force(&s, BOUND).await.unwrap();
     let before = orders(&s).await;
-    ctl::fault(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
+    ctl::set_store_faults(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
     // Every process is replaced in turn; nothing is read from the store.
     for label in ["lb-0", "lb-1", "agent-meter-1"] {
         site.kill(label);
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -22,7 +22,7 @@
 
 use jujubepost::admin;
 use jujubepost::bench::{self, Load, Row};
-use jujubepost::ctl::{self, Outcome, fleet};
+use jujubepost::ctl::{self, WriteOutcome, fleet};
 use jujubepost::script::{Action, Step};
 use jujubepost::settings::Settings;
 use jujubepost::store::{self, KeyLayout};
@@ -172,7 +172,7 @@
 }
 
 /// Two operators change the meter profile from the same revision.
-async fn race(s: &Settings) -> [Outcome; 2] {
+async fn race(s: &Settings) -> [WriteOutcome; 2] {
     let store = store::Client::new(s.store.addr, Duration::from_secs(3)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
@@ -180,8 +180,8 @@
     specs[0].max_flows = 900 + rand::random_range(0..50);
     specs[1].max_flows = 950 + rand::random_range(0..50);
     let (a, b) = futures_util::join!(
-        ctl::put(&store, &keys, &specs[0], rev),
-        ctl::put(&store, &keys, &specs[1], rev)
+        ctl::write_profile(&store, &keys, &specs[0], rev),
+        ctl::write_profile(&store, &keys, &specs[1], rev)
     );
     [a.unwrap(), b.unwrap()]
 }
@@ -211,12 +211,12 @@
     tokio::time::sleep_until(start + Duration::from_millis(over)).await;
     site.play(&ends).await.unwrap();
     let rows = run.await.unwrap();
-    let in_force = fleet::in_force(&s, IN_FORCE).await;
+    let in_force = fleet::wait_in_force(&s, IN_FORCE).await;
     let mut leaves = None;
     if when == When::Change {
         leaves = Some(new_work(site, "meter-2").await);
         Action::Resume("meter-2".into()).take(&s).await.unwrap();
-        fleet::in_force(&s, IN_FORCE).await.unwrap();
+        fleet::wait_in_force(&s, IN_FORCE).await.unwrap();
     }
     let broken = common::violations(site).await;
     let cells = judge(case, &rows, broken, leaves, raced, in_force.map(drop));
@@ -236,12 +236,12 @@
     rows: &[Row],
     broken: u64,
     leaves: Option<u32>,
-    raced: Option<[Outcome; 2]>,
+    raced: Option<[WriteOutcome; 2]>,
     in_force: anyhow::Result<()>,
 ) -> [Cell; 8] {
     let all = |ok: fn(&Row) -> bool| check(rows.iter().all(ok), || format!("{rows:?}"));
     let none = case.harm == Harm::None;
-    let won = raced.is_none_or(|r| r.iter().filter(|o| **o == Outcome::Written).count() == 1);
+    let won = raced.is_none_or(|r| r.iter().filter(|o| **o == WriteOutcome::Written).count() == 1);
     [
         if case.harm == Harm::OwnerDies { None } else { all(|r| r.broken == 0) },
         check(broken == 0 && rows.iter().all(|r| r.foreign == 0), || format!("E999 {broken}")),
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use jujubepost::ctl::{self, Outcome};
+use jujubepost::ctl::{self, WriteOutcome};
 use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
@@ -20,11 +20,13 @@
     a.max_flows = 10;
     let mut b = s.profiles[0].clone();
     b.max_flows = 20;
-    let (ra, rb) =
-        futures_util::join!(ctl::put(&store, &keys, &a, rev), ctl::put(&store, &keys, &b, rev));
+    let (ra, rb) = futures_util::join!(
+        ctl::write_profile(&store, &keys, &a, rev),
+        ctl::write_profile(&store, &keys, &b, rev)
+    );
     let mut got = [ra.unwrap(), rb.unwrap()];
-    got.sort_by_key(|o| *o == Outcome::Conflict);
-    assert_eq!(got, [Outcome::Written, Outcome::Conflict]);
+    got.sort_by_key(|o| *o == WriteOutcome::Conflict);
+    assert_eq!(got, [WriteOutcome::Written, WriteOutcome::Conflict]);
 }
 
 #[ntex::test]
@@ -34,12 +36,15 @@
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
-    ctl::fault(s, &Faults { lost_responses: 1, ..Faults::default() }).await.unwrap();
+    ctl::set_store_faults(s, &Faults { lost_responses: 1, ..Faults::default() }).await.unwrap();
     let mut spec = s.profiles[0].clone();
     spec.max_flows = 33;
-    assert_eq!(ctl::put(&store, &keys, &spec, rev).await.unwrap(), Outcome::Written);
+    assert_eq!(ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(), WriteOutcome::Written);
     let now = store.get(&keys.profile("meter")).await.unwrap().unwrap();
     assert!(now.rev > rev);
     // A second try from the old revision must now conflict, not write twice.
-    assert_eq!(ctl::put(&store, &keys, &spec, rev).await.unwrap(), Outcome::Conflict);
+    assert_eq!(
+        ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(),
+        WriteOutcome::Conflict
+    );
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -124,7 +124,7 @@
             assert_eq!((r.ok, r.broken), (REQUESTS, 0), "{at}: {r:?}");
             assert_eq!((r.doubled, r.lied, r.foreign, r.wrong), (0, 0, 0, 0), "{at}: {r:?}");
         }
-        let in_force = fleet::in_force(&s, IN_FORCE).await;
+        let in_force = fleet::wait_in_force(&s, IN_FORCE).await;
         assert!(in_force.is_ok(), "{at}: {in_force:?}");
         assert_eq!(common::violations(&site).await, 0, "{at}");
         println!("{at}: passed");
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -13,7 +13,7 @@
 async fn requests_served_during_outage() {
     let site = common::start("outage", 22500, 2, 3, 2).await;
     let s = site.settings.clone();
-    ctl::fault(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
+    ctl::set_store_faults(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
     // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     let during = Load { feeds: 2, requests: 40, secs: 2, ..Load::default() };
@@ -22,7 +22,7 @@
         assert_eq!(r.ok, 40, "during outage: {r:?}");
         assert_eq!(r.broken, 0, "during outage: {r:?}");
     }
-    ctl::fault(&s, &Faults::default()).await.unwrap();
+    ctl::set_store_faults(&s, &Faults::default()).await.unwrap();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let (_, kvs) =
