--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,10 +1,8 @@
-//! Counters through `opentelemetry`: one counter for refusals and one for
-//! retries, each with a `reason` attribute, plus plain event counters.
+//! Counters, histograms and gauges, through `opentelemetry`.
 //!
-//! The SDK's manual reader lets a role print its counters on demand (at stop,
-//! or when asked), so an operator can read them without a collector. The
-//! platform's roles also serve them as text ([`text`]), with histograms and
-//! gauges, in the format that Prometheus reads.
+//! A manual reader makes the counters available on demand, without a collector
+//! ([`counter_values`]). [`prometheus_text`] exports every instrument in the
+//! Prometheus text format.
 
 pub mod process;
 
@@ -24,85 +22,87 @@
 /// Why a flow or request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display)]
 pub enum Refusal {
-    /// The target is draining and its grace has passed.
+    /// The target is draining and its drain grace has passed.
     #[display("draining")]
     Draining,
-    /// The target has as many flows as its profile allows.
+    /// The target has reached the profile's limit of open flows.
     #[display("full")]
     Full,
     /// The target could not be reached.
     #[display("unreachable")]
     Unreachable,
-    /// The target has as much waiting work as it can do in time.
+    /// The target has as much queued work as it can finish in time.
     #[display("busy")]
     Busy,
     /// No configuration is known yet.
     #[display("no_config")]
     NoConfig,
-    /// No target of the service holds the flow any more.
+    /// No agent of the service holds the flow any more.
     #[display("lost")]
     Lost,
-    /// The target's process is over.
+    /// The target's process has ended.
     #[display("target_ended")]
     TargetEnded,
-    /// No profile listens on the packet's port.
+    /// No profile uses the packet's port.
     #[display("no_profile")]
     NoProfile,
     /// The profile has no target in service.
     #[display("no_target")]
     NoTarget,
-    /// The packet's owner is not an agent of the profile's service.
+    /// The owner named by the packet is not an agent of the profile's service.
     #[display("foreign_owner")]
     ForeignOwner,
-    /// A packet for a flow this agent does not hold.
+    /// The packet belongs to a flow that this agent does not hold.
     #[display("unknown_flow")]
     UnknownFlow,
     /// No agent accepted the flow in time.
     #[display("open_timeout")]
     OpenTimeout,
-    /// A flow's peer acknowledged nothing for too long.
+    /// The flow's peer acknowledged nothing for too long.
     #[display("silent")]
     Silent,
 }
 
-/// Why something was tried again.
+/// Why a step was retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Retry {
-    /// A packet was not acknowledged in time and was sent again.
+    /// A packet was not acknowledged in time and was retransmitted.
     #[display("packet_timeout")]
     PacketTimeout,
-    /// An answer was not acknowledged in time and was sent again.
+    /// A response was not acknowledged in time and was retransmitted.
     #[display("answer_timeout")]
     AnswerTimeout,
-    /// An accept was not confirmed in time and was sent again.
+    /// An accept was not acknowledged in time and was retransmitted.
     #[display("accept_timeout")]
     AcceptTimeout,
     /// An open was not accepted in time and was sent again.
     #[display("open_timeout")]
     OpenTimeout,
-    /// A new flow was passed to the other candidate target.
+    /// An agent passed a new flow on to the other candidate target.
     #[display("passed_on")]
     PassedOn,
-    /// A target gave an open back, which went to the next.
+    /// An agent returned an open, which was offered to the next one.
     #[display("bounced")]
     Bounced,
     /// The agents of a service were asked for a flow's owner.
     #[display("owner_asked")]
     OwnerAsked,
-    /// An open was not offered again, as too many others were.
+    /// An open was not offered again because the retry budget was spent.
     #[display("budget_spent")]
     BudgetSpent,
-    /// A call to the key-value service failed and was made again.
+    /// A call to the key-value store failed and was repeated.
     #[display("store_error")]
     StoreError,
-    /// A lease lapsed and was taken again.
+    /// A lease expired and a new one was granted.
     #[display("lease_lapsed")]
     LeaseLapsed,
-    /// A watch fell behind the kept history and listed again.
+    /// A watch fell behind the store's compacted history, and the keys were
+    /// listed again.
     #[display("watch_compacted")]
     WatchCompacted,
 }
 
+/// A manual reader that the meter provider and [`counter_values`] share.
 #[derive(Clone, Debug)]
 struct SharedReader(Arc<ManualReader>);
 
@@ -128,14 +128,11 @@
     }
 }
 
-/// Upper bounds of the histograms' buckets, in seconds: from a handshake
-/// (0.3 ms) over a request (50 ms) and the callers' aims (0.2 to 0.5 s) to
-/// their time limits (8 s).
+/// Upper bounds of the buckets of latency histograms, in seconds.
 const LATENCY_BUCKETS_S: [f64; 13] =
     [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-/// Upper bounds of the histogram of a search's questions and answers: 4 are
-/// what a flow's home takes to be asked and to name its owner.
+/// Upper bounds of the buckets for the number of messages of one search.
 const SEARCH_MESSAGE_BUCKETS: [f64; 10] =
     [1.0, 2.0, 4.0, 6.0, 8.0, 16.0, 32.0, 64.0, 256.0, 2048.0];
 
@@ -146,9 +143,9 @@
     retries: Counter<u64>,
     violations: Counter<u64>,
     drops: Counter<u64>,
-    answers: Histogram<f64>,
-    calls: Histogram<f64>,
-    searches: Histogram<u64>,
+    answer_times: Histogram<f64>,
+    store_call_times: Histogram<f64>,
+    search_messages: Histogram<u64>,
     state: Gauge<u64>,
     registry: prometheus::Registry,
 }
@@ -162,7 +159,10 @@
         let mut builder = SdkMeterProvider::builder().with_reader(reader.clone());
         match opentelemetry_prometheus::exporter().with_registry(registry.clone()).build() {
             Ok(exporter) => builder = builder.with_reader(exporter),
-            Err(e) => log::error!("{} metrics as text: {e}", crate::events::METRICS_FAILED),
+            Err(e) => log::error!(
+                "{} creating the Prometheus exporter failed: {e}",
+                crate::events::METRICS_FAILED
+            ),
         }
         let provider = builder.build();
         opentelemetry::global::set_meter_provider(provider.clone());
@@ -171,16 +171,16 @@
         let retries = meter.u64_counter("jujubepost.retries").build();
         let violations = meter.u64_counter("jujubepost.violations").build();
         let drops = meter.u64_counter("jujubepost.drops").build();
-        let times = |name| {
+        let latency_histogram = |name| {
             meter
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_boundaries(LATENCY_BUCKETS_S.to_vec())
                 .build()
         };
-        let answers = times("jujubepost.answer.time");
-        let calls = times("jujubepost.store.time");
-        let searches = meter
+        let answer_times = latency_histogram("jujubepost.answer.time");
+        let store_call_times = latency_histogram("jujubepost.store.time");
+        let search_messages = meter
             .u64_histogram("jujubepost.search.messages")
             .with_boundaries(SEARCH_MESSAGE_BUCKETS.to_vec())
             .build();
@@ -192,9 +192,9 @@
             retries,
             violations,
             drops,
-            answers,
-            calls,
-            searches,
+            answer_times,
+            store_call_times,
+            search_messages,
             state,
             registry,
         }
@@ -211,13 +211,13 @@
     instruments().retries.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
-/// Counts one datagram that was dropped for `reason`.
+/// Counts one datagram or stored item that was dropped for `reason`.
 pub fn count_drop(reason: impl std::fmt::Display) {
     instruments().drops.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
-/// How long the targets of one service take from a caller's data to their
-/// first answer. Made once: a request pays for no attribute of its own.
+/// Histogram of the time from a caller's data to the first response of a target.
+/// Its attributes are built once, so that recording allocates nothing for them.
 #[derive(Clone, Debug)]
 pub struct ResponseTimes {
     histogram: Histogram<f64>,
@@ -225,75 +225,74 @@
 }
 
 impl ResponseTimes {
-    /// The answer times of `service`.
+    /// Creates a handle for the targets of `service`.
     #[must_use]
     pub fn new(service: &str) -> Self {
         let service = [KeyValue::new("service", service.to_string())];
-        Self { histogram: instruments().answers.clone(), service }
+        Self { histogram: instruments().answer_times.clone(), service }
     }
 
-    /// Notes one answer.
-    pub fn record(&self, took: Duration) {
-        self.histogram.record(took.as_secs_f64(), &self.service);
+    /// Records the time of one response.
+    pub fn record(&self, elapsed: Duration) {
+        self.histogram.record(elapsed.as_secs_f64(), &self.service);
     }
 }
 
-/// Notes how many questions and answers a search for a flow's owner took.
+/// Records how many messages a search for a flow's owner sent and received.
 pub fn record_search(messages: u32) {
-    instruments().searches.record(messages.into(), &[]);
+    instruments().search_messages.record(messages.into(), &[]);
 }
 
-/// Notes how long a call to the key-value service took, and how it ended.
-pub fn record_store_call(call: &str, ok: bool, took: Duration) {
+/// Records the time and the outcome of a call to the key-value store.
+pub fn record_store_call(call: &str, ok: bool, elapsed: Duration) {
     if ok {
         process::record_store_answer();
     }
     let attributes = [KeyValue::new("call", call.to_string()), KeyValue::new("ok", ok)];
-    instruments().calls.record(took.as_secs_f64(), &attributes);
+    instruments().store_call_times.record(elapsed.as_secs_f64(), &attributes);
 }
 
-/// Sets the gauge of one fact that the process believes.
+/// Sets the gauge `jujubepost.state` for one fact about the process.
 pub fn set_state(fact: &'static str, value: u64) {
     instruments().state.record(value, &[KeyValue::new("fact", fact)]);
 }
 
-/// Every counter, histogram and gauge, as text in the format that Prometheus
-/// reads.
+/// Exports every counter, histogram and gauge in the Prometheus text format.
 #[must_use]
 pub fn prometheus_text() -> String {
     let families = instruments().registry.gather();
     prometheus::TextEncoder::new().encode_to_string(&families).unwrap_or_else(|e| {
-        log::error!("{} metrics as text: {e}", crate::events::METRICS_FAILED);
+        log::error!("{} encoding the metrics failed: {e}", crate::events::METRICS_FAILED);
         String::new()
     })
 }
 
-/// Checks an invariant of the program: when it does not hold, logs it, counts
-/// it under `jujubepost.violations`, and in debug builds ends the process.
+/// Logs and counts a violation if the invariant `name` does not hold. Debug builds
+/// then abort the process.
 pub fn check_invariant(holds: bool, name: &'static str, detail: impl FnOnce() -> String) {
     if holds {
         return;
     }
-    log::error!("{} invariant {name} broken: {}", crate::events::INVARIANT_VIOLATED, detail());
+    log::error!("{} invariant {name} violated: {}", crate::events::INVARIANT_VIOLATED, detail());
     instruments().violations.add(1, &[KeyValue::new("reason", name)]);
     if cfg!(debug_assertions) {
         std::process::abort();
     }
 }
 
-/// One counter value with its reason.
+/// The total of one counter for one reason.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 #[display("{name}{{reason={reason}}} {value}")]
 pub struct CounterValue {
-    /// Counter name.
+    /// Name of the counter.
     pub name: String,
-    /// The `reason` attribute.
+    /// Value of the `reason` attribute, empty without one.
     pub reason: String,
-    /// Total since start.
+    /// Total since the start of the process.
     pub value: u64,
 }
 
-/// Every counter's totals since start, sorted by name and reason.
+/// Returns the totals of every counter, sorted by name and reason.
 #[must_use]
 pub fn counter_values() -> Vec<CounterValue> {
     let m = instruments();
--- a/src/metrics/process.rs
+++ b/src/metrics/process.rs
@@ -1,7 +1,7 @@
-//! What tells a full link from a busy processor: bytes sent by purpose,
-//! datagrams that a socket refused, reads that left datagrams waiting, pauses of
-//! the process. Plain integers, since each datagram counts. Besides, how old the
-//! key-value service's last answer is.
+//! Totals of the process that show whether its link or its processor is
+//! overloaded, and the age of the store's last response. They are atomic
+//! integers, which are cheap to update for each datagram; [`publish`] copies them
+//! to gauges.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, PoisonError};
@@ -13,43 +13,44 @@
 static READ_BACKLOGS: AtomicU64 = AtomicU64::new(0);
 static PAUSED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// When the key-value service last answered.
+/// Time of the last successful call to the key-value store.
 static STORE_ANSWERED_AT: Mutex<Option<Instant>> = Mutex::new(None);
 
-/// Counts `bytes` of a message about flows: questions, offers, answers, trials.
-/// They grow with trouble, and are to leave the link to callers.
+/// Adds to the bytes of control messages about flows (offers, queries, answers)
+/// that were passed to the socket.
 pub fn add_message_bytes(bytes: usize) {
     MESSAGE_BYTES.fetch_add(bytes as u64, Relaxed);
 }
 
-/// Counts `bytes` of a packet on its way between a caller and its flow's target.
+/// Adds to the bytes of packets between callers and targets that were passed to
+/// the socket.
 pub fn add_carried_bytes(bytes: usize) {
     CARRIED_BYTES.fetch_add(bytes as u64, Relaxed);
 }
 
-/// Counts a datagram that the socket refused: its buffer is full, so the link is.
+/// Counts a datagram that was not sent because the socket's send buffer was full.
 pub fn count_refused_send() {
     SENDS_REFUSED.fetch_add(1, Relaxed);
 }
 
-/// Counts a read of a whole batch that left datagrams waiting: the process does
-/// not keep up with what comes.
+/// Counts a read that filled its batch and left datagrams in the socket, a sign
+/// that the process does not keep up.
 pub fn count_read_backlog() {
     READ_BACKLOGS.fetch_add(1, Relaxed);
 }
 
-/// Counts `ms` in which the process did not run.
+/// Adds to the time, in milliseconds, in which the process was not scheduled.
 pub fn add_paused_ms(ms: u64) {
     PAUSED_MS.fetch_add(ms, Relaxed);
 }
 
-/// Notes that the key-value service has answered a call with success.
+/// Records that a call to the key-value store has just succeeded.
 pub fn record_store_answer() {
     *STORE_ANSWERED_AT.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
 }
 
-/// Sets the gauges of the totals since the process's start, and of the age of
-/// the key-value service's last answer, if there was one.
+/// Sets the gauges of the totals since the start of the process, and of the age
+/// of the store's last response, if there was one.
 pub fn publish() {
     let totals = [
         ("message_bytes", &MESSAGE_BYTES),
