--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,29 +1,40 @@
 //! jujubepost: a layer-4 load balancer whose balancers keep no per-flow state.
 //!
-//! The crate is one binary with a subcommand per role. Each module holds one
-//! role or one shared piece of the data path:
-//!
-//! - [`settings`]: typed, checked settings read from JSON with comments.
-//! - [`wire`]: the packets exchanged by fabric, balancers and agents.
-//! - [`stream`]: ordered delivery over datagrams.
-//! - [`flow`], [`protocol`], [`steering`], [`tracker`], [`edge`]: the path of packets that
-//!   callers and targets exchange end to end, and its roles on the platform.
-//! - [`policy`], [`token_bucket`]: the figures that decide under load and trouble, and
-//!   the bound on work that would grow with it.
-//! - [`platform`]: names, formats and calls of the users' platform.
-//! - [`http`]: a small HTTP server on the process's own thread.
-//! - [`maglev`]: the consistent-hash lookup table that picks a target.
-//! - [`store`]: the key-value service stand-in and its client.
+//! Balancers on entry VMs forward packets to agents beside the targets, and the
+//! agents own the flows. One binary has a subcommand for each role.
+//!
+//! Roles and their packet path on the platform:
+//!
+//! - [`edge`]: the balancer and the agent as processes on the platform.
+//! - [`flow`]: flow identifiers, packet headers and the flow table.
+//! - [`protocol`]: messages between balancers and agents.
+//! - [`steering`], [`tracker`]: the forwarding decisions of a balancer, and the
+//!   flow tracking of an agent, without I/O.
+//! - [`policy`], [`token_bucket`]: parameters of those decisions, and a rate limiter.
+//! - [`relay`]: distribution of a large configuration in parts.
+//! - [`platform`]: addresses, formats and calls of the platform.
+//!
+//! Sites with stand-ins for the fabric, the store and the targets:
+//!
 //! - [`balancer`], [`agent`], [`fabric`], [`target`]: the roles.
-//! - [`admin`]: what the processes of a site ask each other.
-//! - [`ctl`]: the operator's tool.
-//! - [`mod@bench`]: the load tool that prints broken flows and imbalance.
-//! - [`relay`]: a large configuration handed on between balancers in parts.
-//! - [`script`]: scripted changes and faults for trials and tests.
-//! - [`model`]: a site on a virtual clock, for decisions under load and trouble.
-//! - [`experiment`]: policies compared on the model.
-//! - [`trial`]: the platform's form on loopback, with stand-ins for its ends.
-//! - [`up`]: runs a whole deployment on one machine.
+//! - [`wire`], [`stream`]: their packets, and ordered delivery over datagrams.
+//! - [`maglev`]: the consistent-hash table that maps flows to targets.
+//!
+//! Shared modules:
+//!
+//! - [`settings`], [`record`]: settings files, and records in the store.
+//! - [`store`]: the key-value store's client and stand-in.
+//! - [`admin`], [`ctl`]: calls between the processes of a site, and operator commands.
+//! - [`http`]: the HTTP server for probes, reports and metrics.
+//! - [`events`], [`logs`], [`metrics`]: event codes, log output, and instruments.
+//! - [`refusal`]: the HTTP response to a refused caller.
+//!
+//! Tools:
+//!
+//! - [`mod@bench`]: the load generator.
+//! - [`script`]: scripted changes and faults.
+//! - [`up`], [`trial`]: whole sites, and the platform roles, on one machine.
+//! - [`model`], [`experiment`]: a discrete-event simulation, and policies compared in it.
 
 pub mod admin;
 pub mod agent;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `jujubepost` command: one subcommand per role.
+//! The `jujubepost` command line: one subcommand for each role and tool.
 
 use std::path::PathBuf;
 
@@ -13,51 +13,51 @@
 #[command(name = "jujubepost", version)]
 struct Cli {
     #[command(subcommand)]
-    role: Role,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum Role {
+enum Command {
     /// Runs one balancer of a site.
-    Balancer(Named),
+    Balancer(ProcessArgs),
     /// Runs the agent beside one target.
-    Agent(Named),
+    Agent(ProcessArgs),
     /// Runs the balancer on an entry VM of the platform.
-    Entry(Site),
+    Entry(SiteArgs),
     /// Runs the agent beside a target of the platform.
-    Sidecar(Site),
+    Sidecar(SiteArgs),
     /// Runs the fabric stand-in of a site.
-    Fabric(Site),
+    Fabric(SiteArgs),
     /// Runs one target stand-in.
-    Target(Named),
-    /// Runs the key-value service stand-in of a site.
-    Store(Site),
-    /// The operator's tool.
+    Target(ProcessArgs),
+    /// Runs the key-value store stand-in of a site.
+    Store(SiteArgs),
+    /// Changes and inspects a running site, for operators.
     Ctl(ctl::Args),
-    /// Drives load against a running site and prints broken flows and imbalance.
+    /// Generates load on a running site and prints broken flows and imbalance.
     Bench(bench::Args),
-    /// Runs the platform's form on this machine, with stand-ins for routers,
+    /// Runs the platform roles on this machine, with stand-ins for routers,
     /// callers and targets, and prints what was served.
     Trial(trial::Plan),
-    /// Compares policies under load and trouble on the model: table, CSV, plots.
+    /// Compares policies under load and faults in simulation: table, CSV, plots.
     Experiment(experiment::Args),
-    /// Runs whole sites on this machine, drives load and prints what was served.
+    /// Runs whole sites on this machine, generates load and prints what was served.
     Up(up::Args),
 }
 
 #[derive(Debug, clap::Args)]
-struct Site {
+struct SiteArgs {
     /// Settings file (JSON with comments).
     #[arg(long)]
     config: PathBuf,
 }
 
 #[derive(Debug, clap::Args)]
-struct Named {
+struct ProcessArgs {
     /// Settings file (JSON with comments).
     #[arg(long)]
     config: PathBuf,
-    /// This process's name in the settings.
+    /// Name of the process in the settings.
     #[arg(long)]
     name: String,
 }
@@ -65,30 +65,30 @@
 #[ntex::main]
 async fn main() -> anyhow::Result<()> {
     let cli = Cli::parse();
-    jujubepost::logs::init(cli.role.service());
-    run(cli.role).await
+    jujubepost::logs::init(cli.command.is_service());
+    run(cli.command).await
 }
 
-impl Role {
-    /// Whether the role runs as a service whose log another program reads.
-    const fn service(&self) -> bool {
+impl Command {
+    /// Whether the command runs as a service, whose log a collector reads.
+    const fn is_service(&self) -> bool {
         matches!(self, Self::Entry(_) | Self::Sidecar(_))
     }
 }
 
-async fn run(role: Role) -> anyhow::Result<()> {
-    match role {
-        Role::Balancer(n) => balancer::run(&Settings::load(&n.config)?, &n.name).await,
-        Role::Agent(n) => agent::run(&Settings::load(&n.config)?, &n.name).await,
-        Role::Target(n) => target::run(&Settings::load(&n.config)?, &n.name).await,
-        Role::Entry(s) => edge::entry::run(&s.config).await,
-        Role::Sidecar(s) => edge::sidecar::run(&s.config).await,
-        Role::Fabric(s) => fabric::run(&Settings::load(&s.config)?).await,
-        Role::Store(s) => platform::server::serve(Settings::load(&s.config)?.store.addr).await,
-        Role::Ctl(a) => ctl::run(a).await,
-        Role::Bench(a) => bench::run(a).await,
-        Role::Trial(p) => trial::run(p).await,
-        Role::Experiment(a) => experiment::run(&a),
-        Role::Up(a) => up::run(a).await,
+async fn run(command: Command) -> anyhow::Result<()> {
+    match command {
+        Command::Balancer(n) => balancer::run(&Settings::load(&n.config)?, &n.name).await,
+        Command::Agent(n) => agent::run(&Settings::load(&n.config)?, &n.name).await,
+        Command::Target(n) => target::run(&Settings::load(&n.config)?, &n.name).await,
+        Command::Entry(s) => edge::entry::run(&s.config).await,
+        Command::Sidecar(s) => edge::sidecar::run(&s.config).await,
+        Command::Fabric(s) => fabric::run(&Settings::load(&s.config)?).await,
+        Command::Store(s) => platform::server::serve(Settings::load(&s.config)?.store.addr).await,
+        Command::Ctl(a) => ctl::run(a).await,
+        Command::Bench(a) => bench::run(a).await,
+        Command::Trial(p) => trial::run(p).await,
+        Command::Experiment(a) => experiment::run(&a),
+        Command::Up(a) => up::run(a).await,
     }
 }
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -1,6 +1,5 @@
-//! An accepted configuration is in force on every balancer and agent within
-//! seconds, and never reverts: not in a store outage, not in a process that
-//! starts while the store is down.
+//! A configuration must be in force on every balancer and agent within seconds,
+//! and must not revert in a store outage, not even in processes that start in it.
 
 mod common;
 
@@ -11,10 +10,11 @@
 use jujubepost::settings::Settings;
 use jujubepost::store::{self, Faults, KeyLayout, Snapshot};
 
-const BOUND: Duration = Duration::from_secs(3);
+/// Longest time until a change is in force everywhere.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Lowers the meter profile's flow limit.
-async fn limit(s: &Settings, flows: u32) {
+/// Sets the flow limit of the meter profile.
+async fn set_flow_limit(s: &Settings, flows: u32) {
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
@@ -23,10 +23,9 @@
     assert_eq!(ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(), WriteOutcome::Written);
 }
 
-/// Waits until feeds that have ended are closed at the agents as well, which is
-/// to take no longer than a change: until then they count against the limit, and a
-/// feed that begins 10 ms later is refused as one too many.
-async fn closed(s: &Settings) {
+/// Waits until the agents have closed the flows of earlier feeds, which would
+/// count against the flow limit.
+async fn wait_flows_closed(s: &Settings) {
     let all_closed = async {
         loop {
             let all = fleet::fetch_statuses(s).await;
@@ -36,65 +35,66 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(BOUND, all_closed).await.unwrap();
+    tokio::time::timeout(IN_FORCE_TIMEOUT, all_closed).await.unwrap();
 }
 
-/// Requests answered and refused while `feeds` open feeds, opened before
-/// them, hold the one target.
-async fn answered(s: &Settings, feeds: u32) -> (u32, u32) {
-    closed(s).await;
-    let held = Load { feeds, requests: 0, secs: 4, ..Load::default() };
-    let s2 = s.clone();
-    let holder = tokio::task::spawn_local(async move { bench::measure(&s2, &held).await });
+/// Returns how many of 10 requests are answered and refused while `feeds` feeds
+/// are open on the only target.
+async fn count_answered(s: &Settings, feeds: u32) -> (u32, u32) {
+    wait_flows_closed(s).await;
+    let feed_load = Load { feeds, requests: 0, secs: 4, ..Load::default() };
+    let settings = s.clone();
+    let feed_task =
+        tokio::task::spawn_local(async move { bench::measure(&settings, &feed_load).await });
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let args = Load { feeds: 0, requests: 10, secs: 2, ..Load::default() };
-    let rows = bench::measure(s, &args).await;
+    let request_load = Load { feeds: 0, requests: 10, secs: 2, ..Load::default() };
+    let rows = bench::measure(s, &request_load).await;
     let meter = rows.iter().find(|r| r.profile == "meter").unwrap();
-    let held = holder.await.unwrap();
-    assert!(held.iter().all(|r| r.broken == 0), "{held:?}");
+    let feed_rows = feed_task.await.unwrap();
+    assert!(feed_rows.iter().all(|r| r.broken == 0), "{feed_rows:?}");
     (meter.ok, meter.refused)
 }
 
-/// The orders that each balancer and agent applies.
-async fn orders(s: &Settings) -> Vec<u64> {
+/// Returns the fingerprint of the configuration that each balancer and agent applies.
+async fn config_fingerprints(s: &Settings) -> Vec<u64> {
     let all = fleet::fetch_statuses(s).await;
     let applying = all.into_iter().filter(|(p, _)| p.role != "fabric");
     applying.map(|(_, st)| st.unwrap().config_fingerprint).collect()
 }
 
 #[ntex::test]
-async fn limit_reaches_agents() {
+async fn changed_limit_is_in_force_on_agents() {
     let site = common::start("limit", 25500, 2, 1, 0).await;
     let s = site.settings.clone();
-    assert_eq!(answered(&s, 2).await, (10, 0));
-    limit(&s, 2).await;
-    fleet::wait_in_force(&s, BOUND).await.unwrap();
-    assert_eq!(answered(&s, 2).await, (0, 10));
+    assert_eq!(count_answered(&s, 2).await, (10, 0));
+    set_flow_limit(&s, 2).await;
+    fleet::wait_in_force(&s, IN_FORCE_TIMEOUT).await.unwrap();
+    assert_eq!(count_answered(&s, 2).await, (0, 10));
 }
 
 #[ntex::test]
-async fn joins_in_outage() {
+async fn processes_started_in_outage_use_latest_config() {
     let mut site = common::start("joins", 26000, 2, 1, 0).await;
     let s = site.settings.clone();
-    limit(&s, 2).await;
-    fleet::wait_in_force(&s, BOUND).await.unwrap();
-    let before = orders(&s).await;
+    set_flow_limit(&s, 2).await;
+    fleet::wait_in_force(&s, IN_FORCE_TIMEOUT).await.unwrap();
+    let before = config_fingerprints(&s).await;
     ctl::set_store_faults(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
-    // Every process is replaced in turn; nothing is read from the store.
+    // Replace every process in turn while the store is down.
     for label in ["lb-0", "lb-1", "agent-meter-1"] {
         site.kill(label);
         site.launch(label).unwrap();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
-    assert_eq!(orders(&s).await, before);
-    assert_eq!(answered(&s, 2).await, (0, 10));
-    assert_eq!(answered(&s, 1).await, (10, 0));
+    assert_eq!(config_fingerprints(&s).await, before);
+    assert_eq!(count_answered(&s, 2).await, (0, 10));
+    assert_eq!(count_answered(&s, 1).await, (10, 0));
 }
 
 #[test]
-fn older_copy_ignored() {
-    let mut copy = Snapshot { rev: 9, ..Snapshot::default() };
-    assert!(!copy.replace_if_newer(Snapshot { rev: 8, ..Snapshot::default() }));
-    assert!(copy.replace_if_newer(Snapshot { rev: 10, ..Snapshot::default() }));
-    assert_eq!(copy.rev, 10);
+fn older_snapshot_is_ignored() {
+    let mut snapshot = Snapshot { rev: 9, ..Snapshot::default() };
+    assert!(!snapshot.replace_if_newer(Snapshot { rev: 8, ..Snapshot::default() }));
+    assert!(snapshot.replace_if_newer(Snapshot { rev: 10, ..Snapshot::default() }));
+    assert_eq!(snapshot.rev, 10);
 }
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -1,6 +1,5 @@
-//! Two operators change the same profile from the same revision: exactly
-//! one wins, the other gets a conflict. A write whose answer is lost after
-//! it took effect is read back and reported as written.
+//! Of two concurrent changes of a profile from the same revision, exactly one
+//! must succeed. A write whose response is lost must still be reported as written.
 
 mod common;
 
@@ -10,7 +9,7 @@
 use jujubepost::store::{self, Faults, KeyLayout};
 
 #[ntex::test]
-async fn one_of_two_wins() {
+async fn one_of_two_concurrent_changes_succeeds() {
     let site = common::start("race", 21600, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
@@ -20,17 +19,17 @@
     a.max_flows = 10;
     let mut b = s.profiles[0].clone();
     b.max_flows = 20;
-    let (ra, rb) = futures_util::join!(
+    let (first, second) = futures_util::join!(
         ctl::write_profile(&store, &keys, &a, rev),
         ctl::write_profile(&store, &keys, &b, rev)
     );
-    let mut got = [ra.unwrap(), rb.unwrap()];
-    got.sort_by_key(|o| *o == WriteOutcome::Conflict);
-    assert_eq!(got, [WriteOutcome::Written, WriteOutcome::Conflict]);
+    let mut outcomes = [first.unwrap(), second.unwrap()];
+    outcomes.sort_by_key(|o| *o == WriteOutcome::Conflict);
+    assert_eq!(outcomes, [WriteOutcome::Written, WriteOutcome::Conflict]);
 }
 
 #[ntex::test]
-async fn lost_answer_confirmed() {
+async fn write_with_lost_response_is_confirmed() {
     let site = common::start("lost", 21700, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
@@ -42,7 +41,7 @@
     assert_eq!(ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(), WriteOutcome::Written);
     let now = store.get(&keys.profile("meter")).await.unwrap().unwrap();
     assert!(now.rev > rev);
-    // A second try from the old revision must now conflict, not write twice.
+    // A second write from the old revision must conflict.
     assert_eq!(
         ctl::write_profile(&store, &keys, &spec, rev).await.unwrap(),
         WriteOutcome::Conflict
