--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -319,7 +319,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read, or as [`parse_jsonc`] and [`validate`].
+    /// Fails when the file cannot be read, or as [`parse_jsonc`] and [`validate()`].
     pub fn load(path: &Path) -> anyhow::Result<Self> {
         read_file(path, Self::parse)
     }
@@ -328,7 +328,7 @@
     ///
     /// # Errors
     ///
-    /// As [`parse_jsonc`] and [`validate`].
+    /// As [`parse_jsonc`] and [`validate()`].
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let settings: Self = parse_jsonc(text)?;
         validate(&settings)?;
