--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// As [`Connection::fetch_status`].
-    pub async fn fetch_ready(&self) -> anyhow::Result<bool> {
+    pub async fn fetch_readiness(&self) -> anyhow::Result<bool> {
         let res = self.client.ready(self.context()).await;
         res.with_context(|| format!("admin: fetching the readiness of {}", self.addr))
     }
--- a/src/fabric/rotation.rs
+++ b/src/fabric/rotation.rs
@@ -23,7 +23,7 @@
             self.peer = Connection::connect(self.addr, timeout).await.ok();
         }
         let ready = match &self.peer {
-            Some(peer) => peer.fetch_ready().await,
+            Some(peer) => peer.fetch_readiness().await,
             None => Ok(false),
         };
         if ready.is_err() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,7 +23,7 @@
 //! Shared modules:
 //!
 //! - [`settings`], [`record`]: settings files, and records in the store.
-//! - [`store`]: the key-value store's client and stand-in.
+//! - [`store`]: client and stand-in of the key-value service.
 //! - [`admin`], [`ctl`]: calls between the processes of a site, and operator commands.
 //! - [`http`]: the HTTP server for probes, reports and metrics.
 //! - [`events`], [`logs`], [`metrics`]: event codes, log output, and instruments.
--- a/src/main.rs
+++ b/src/main.rs
@@ -30,7 +30,7 @@
     Fabric(SiteArgs),
     /// Runs one target stand-in.
     Target(ProcessArgs),
-    /// Runs the key-value store stand-in of a site.
+    /// Runs the key-value service stand-in of a site.
     Store(SiteArgs),
     /// Changes and inspects a running site, for operators.
     Ctl(ctl::Args),
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -69,7 +69,7 @@
     /// A packet was not acknowledged in time and was retransmitted.
     #[display("packet_timeout")]
     PacketTimeout,
-    /// A response was not acknowledged in time and was retransmitted.
+    /// An answer was not acknowledged in time and was retransmitted.
     #[display("answer_timeout")]
     AnswerTimeout,
     /// An accept was not acknowledged in time and was retransmitted.
@@ -90,7 +90,7 @@
     /// An open was not offered again because the retry budget was spent.
     #[display("budget_spent")]
     BudgetSpent,
-    /// A call to the key-value store failed and was repeated.
+    /// A call to the key-value service failed and was repeated.
     #[display("store_error")]
     StoreError,
     /// A lease expired and a new one was granted.
@@ -216,15 +216,15 @@
     instruments().drops.add(1, &[KeyValue::new("reason", reason.to_string())]);
 }
 
-/// Histogram of the time from a caller's data to the first response of a target.
-/// Its attributes are built once, so that recording allocates nothing for them.
+/// Histogram of the time from a caller's data to the target's first answer. Its
+/// attributes are built once, so that recording allocates nothing for them.
 #[derive(Clone, Debug)]
-pub struct ResponseTimes {
+pub struct AnswerTimes {
     histogram: Histogram<f64>,
     service: [KeyValue; 1],
 }
 
-impl ResponseTimes {
+impl AnswerTimes {
     /// Creates a handle for the targets of `service`.
     #[must_use]
     pub fn new(service: &str) -> Self {
@@ -232,7 +232,7 @@
         Self { histogram: instruments().answer_times.clone(), service }
     }
 
-    /// Records the time of one response.
+    /// Records the time of one answer.
     pub fn record(&self, elapsed: Duration) {
         self.histogram.record(elapsed.as_secs_f64(), &self.service);
     }
@@ -243,7 +243,7 @@
     instruments().search_messages.record(messages.into(), &[]);
 }
 
-/// Records the time and the outcome of a call to the key-value store.
+/// Records the time and the outcome of a call to the key-value service.
 pub fn record_store_call(call: &str, ok: bool, elapsed: Duration) {
     if ok {
         process::record_store_answer();
--- a/src/metrics/process.rs
+++ b/src/metrics/process.rs
@@ -13,7 +13,7 @@
 static READ_BACKLOGS: AtomicU64 = AtomicU64::new(0);
 static PAUSED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// Time of the last successful call to the key-value store.
+/// Time of the last successful call to the key-value service.
 static STORE_ANSWERED_AT: Mutex<Option<Instant>> = Mutex::new(None);
 
 /// Adds to the bytes of control messages about flows (offers, queries, answers)
@@ -44,7 +44,7 @@
     PAUSED_MS.fetch_add(ms, Relaxed);
 }
 
-/// Records that a call to the key-value store has just succeeded.
+/// Records that a call to the key-value service has just succeeded.
 pub fn record_store_answer() {
     *STORE_ANSWERED_AT.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! Settings of a site, read from JSON with comments and validated on load.
 //!
-//! One file describes the key-value store, the fabric, the balancers, the
+//! One file describes the key-value service, the fabric, the balancers, the
 //! profiles and the targets with their agents. A process finds its addresses and
 //! its data centre (zone) in it by its own name.
 
@@ -41,7 +41,7 @@
 pub struct Settings {
     /// Name of the site, for logs and reports.
     pub site: Arc<str>,
-    /// The key-value store.
+    /// The key-value service, called the store.
     pub store: StoreSettings,
     /// The fabric stand-in, which spreads packets over the balancers.
     pub fabric: FabricSettings,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Address and use of the key-value store.
+/// Address and use of the key-value service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreSettings {
@@ -147,7 +147,7 @@
     /// How long a graceful shutdown waits for open flows.
     #[serde(rename = "stop_ms")]
     pub stop_timeout_ms: u64,
-    /// Retransmission timeout of responses.
+    /// Retransmission timeout of answers to callers.
     pub rto_ms: u64,
     /// How long a caller may acknowledge nothing before its flow is given up.
     #[serde(rename = "give_up_ms")]
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -64,7 +64,7 @@
     /// Flows that wait for an answer of the target.
     waiting: u32,
     flow_load: LoadEstimate,
-    answer_times: metrics::ResponseTimes,
+    answer_times: metrics::AnswerTimes,
     /// Until when the target counts as full, after it returned an open.
     full_until: Option<Instant>,
     /// When flows that are not established no longer count as waiting.
@@ -103,7 +103,7 @@
     #[must_use]
     pub fn new(service: Arc<str>, idle_timeout: Duration) -> Self {
         Self {
-            answer_times: metrics::ResponseTimes::new(&service),
+            answer_times: metrics::AnswerTimes::new(&service),
             service,
             target: None,
             predecessor: None,
