--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -112,8 +112,8 @@
         for i in 0..rate * CHANGE_SECS {
             let at = Duration::from_secs_f64(f64::from(i) / f64::from(rate));
             tokio::time::sleep_until((start + at).into()).await;
-            ctl::limit(&s, "meter", 1_000 + i).await.unwrap();
-            latencies.push(fleet::in_force(&s, Duration::from_secs(5)).await.unwrap());
+            ctl::set_flow_limit(&s, "meter", 1_000 + i).await.unwrap();
+            latencies.push(fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap());
         }
         tokio::time::sleep_until((start + Duration::from_secs(u64::from(CHANGE_SECS))).into())
             .await;
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -250,7 +250,7 @@
         }
         self.received.insert(p.seq, p);
         while let Some(p) = self.received.pop() {
-            metrics::invariant(!self.caller_closed, "nothing_after_close", || {
+            metrics::check_invariant(!self.caller_closed, "nothing_after_close", || {
                 format!("flow {:x} seq {}", p.flow, p.seq)
             });
             self.write_to_target(&p).await;
@@ -305,7 +305,7 @@
         if now.duration_since(self.last_activity) >= timeouts.idle {
             log::info!(
                 "{} flow {:x} closed: no traffic for {:?}",
-                events::AGENT_IDLE,
+                events::AGENT_IDLE_TIMEOUT,
                 self.params.flow_id,
                 timeouts.idle
             );
@@ -315,15 +315,15 @@
         if unconfirmed || self.unacked.stalled_for(now) >= timeouts.give_up {
             log::info!(
                 "{} flow {:x} closed: the fabric acknowledged nothing in time",
-                events::AGENT_SILENT,
+                events::AGENT_ACK_TIMEOUT,
                 self.params.flow_id
             );
-            metrics::refused(Refusal::Silent);
+            metrics::count_refusal(Refusal::Silent);
             return Some(FlowEnd::Silent);
         }
         if !self.confirmed && now >= self.next_accept {
             if self.next_accept > self.opened_at {
-                metrics::retried(Retry::AcceptTimeout);
+                metrics::count_retry(Retry::AcceptTimeout);
             }
             self.send_reply(ReplyKind::Accept).await;
             self.next_accept = now + self.accept_interval;
@@ -331,7 +331,7 @@
         }
         let due: Vec<ReplyKind> = self.unacked.resend(now).cloned().collect();
         for reply in due {
-            metrics::retried(Retry::AnswerTimeout);
+            metrics::count_retry(Retry::AnswerTimeout);
             self.send_reply(reply).await;
         }
         None
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -25,7 +25,7 @@
 pub use placement::{OfferAction, decide_offer};
 use state::Agent;
 
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::settings::{Settings, TargetSettings};
 use crate::store::mirror::{self, MirrorEvent, Source};
 use crate::store::{self, KeyLayout};
@@ -50,19 +50,19 @@
 /// receiving fails.
 pub async fn run(settings: &Settings, name: &str) -> anyhow::Result<()> {
     let target = settings.target(name)?.clone();
-    let sock = UdpSocket::bind(target.agent)
+    let sock = UdpSocket::bind(target.agent_addr)
         .await
-        .with_context(|| format!("agent {name}: binding {}", target.agent))?;
+        .with_context(|| format!("agent {name}: binding {}", target.agent_addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
-    let board = Board::new(format!("agent-{name}").into(), keys.config_prefix().into());
-    let admin_server = admin::Server::start(target.agent, board.clone()).await?;
+    let board = ProcessState::new(format!("agent-{name}").into(), keys.config_prefix().into());
+    let admin_server = admin::Server::start(target.agent_addr, board.clone()).await?;
     let (ended_tx, ended_rx) = mpsc::unbounded_channel();
     let agent =
         Rc::new(RefCell::new(Agent::new(target.clone(), settings, sock, ended_tx, board.clone())));
     let (registration, value) = watch::channel(encode_registration(&target, false)?);
     let key = keys.target(name);
-    let (lease_store, lease_ms) = (store.clone(), settings.agent.lease_ms);
+    let (lease_store, lease_ms) = (store.clone(), settings.agent_timers.lease_ttl_ms);
     let lease_task = tokio::task::spawn_local(async move {
         store::lease::maintain(&lease_store, &key, value, lease_ms, &Notify::new()).await;
     });
@@ -81,7 +81,7 @@
         events::AGENT_START,
         target.service,
         target.zone,
-        target.agent
+        target.agent_addr
     );
     let mut event_loop = EventLoop::new(agent.clone(), ended_rx);
     let mut term = signal(SignalKind::terminate()).context("agent: signal")?;
@@ -101,7 +101,7 @@
     let mut tasks = agent.borrow_mut().take_tasks();
     tasks.shutdown().await;
     admin_server.stop().await;
-    for count in metrics::snapshot() {
+    for count in metrics::counter_values() {
         log::info!("{} {count}", events::COUNTERS);
     }
     Ok(())
@@ -112,7 +112,7 @@
         name: target.name.clone(),
         zone: target.zone.clone(),
         service: target.service,
-        agent: target.agent,
+        agent: target.agent_addr,
         stopping,
     };
     serde_json::to_vec(&rec).context("agent: encoding the registration")
@@ -164,7 +164,8 @@
     let open = agent.borrow().flow_count();
     log::info!("{} stopping; waiting for {open} open flows", events::AGENT_STOP);
     let start = Instant::now();
-    let (grace, timeout) = (ms(settings.agent.grace_ms), ms(settings.agent.stop_ms));
+    let (grace, timeout) =
+        (ms(settings.agent_timers.drain_grace_ms), ms(settings.agent_timers.stop_timeout_ms));
     while start.elapsed() < grace || !agent.borrow().is_idle() {
         if start.elapsed() >= grace {
             agent.borrow_mut().stop_accepting();
@@ -181,7 +182,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     agent: Rc<RefCell<Agent>>,
-    board: Board,
+    board: ProcessState,
 ) {
     let name = agent.borrow().target_name();
     mirror::follow(
@@ -190,13 +191,13 @@
         |event| match event {
             MirrorEvent::Updated(snapshot) => {
                 agent.borrow_mut().apply_config(AgentConfig::read(&keys, snapshot, &name));
-                board.set_copy(std::sync::Arc::new(snapshot.clone()));
+                board.set_snapshot(std::sync::Arc::new(snapshot.clone()));
                 board.set_ready(true);
             }
             MirrorEvent::StoreFailed(e) => {
                 log::warn!(
                     "{} store call failed, keeping the last configuration: {e:#}",
-                    events::AGENT_STORE
+                    events::AGENT_STORE_UNREACHABLE
                 )
             }
             MirrorEvent::Recovered => {}
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -16,7 +16,7 @@
 use super::mailbox::Mailbox;
 use super::placement::{self, decide_offer, decide_unreachable};
 use super::{Admission, OfferAction, admit, flow};
-use crate::admin::Board;
+use crate::admin::ProcessState;
 use crate::events;
 use crate::metrics::{self, Refusal, Retry};
 use crate::refusal;
@@ -48,7 +48,7 @@
     waiting: WaitingFlows,
     ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
     tasks: JoinSet<()>,
-    board: Board,
+    board: ProcessState,
 }
 
 impl Agent {
@@ -59,7 +59,7 @@
         settings: &Settings,
         sock: UdpSocket,
         ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
-        board: Board,
+        board: ProcessState,
     ) -> Self {
         Self {
             target,
@@ -70,11 +70,11 @@
             draining_since: None,
             stopping: false,
             unreachable_since: None,
-            drain_grace: Duration::from_millis(settings.agent.grace_ms),
+            drain_grace: Duration::from_millis(settings.agent_timers.drain_grace_ms),
             timeouts: FlowTimeouts {
-                idle: Duration::from_millis(settings.agent.idle_ms),
-                rto: Duration::from_millis(settings.agent.rto_ms),
-                give_up: Duration::from_millis(settings.agent.give_up_ms),
+                idle: Duration::from_millis(settings.agent_timers.idle_timeout_ms),
+                rto: Duration::from_millis(settings.agent_timers.rto_ms),
+                give_up: Duration::from_millis(settings.agent_timers.ack_timeout_ms),
             },
             waiting: WaitingFlows::default(),
             ended,
@@ -155,7 +155,7 @@
             }
             _ if p.kind == PacketKind::Reset => {}
             _ => {
-                metrics::refused(Refusal::UnknownFlow);
+                metrics::count_refusal(Refusal::UnknownFlow);
                 self.send_reply(&p, p.owner, ReplyKind::Reset);
             }
         }
@@ -174,11 +174,11 @@
             return;
         }
         let Some(profile) = self.config.profiles.get(&p.port) else {
-            metrics::refused(Refusal::NoProfile);
+            metrics::count_refusal(Refusal::NoProfile);
             return;
         };
         if profile.service != self.target.service {
-            metrics::refused(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::ForeignOwner);
             return;
         }
         let max_flows = profile.max_flows;
@@ -189,7 +189,7 @@
         if self.unreachable_since.is_some_and(|at| at.elapsed() < UNREACHABLE_PAUSE) {
             admission = Admission::Refuse(Refusal::Unreachable);
         }
-        let own_addr = ipv4_addr(self.target.agent);
+        let own_addr = ipv4_addr(self.target.agent_addr);
         let offer =
             p.offer.unwrap_or(Offer { first: own_addr, second: None, stage: OfferStage::Take });
         match decide_offer(admission, self.load(max_flows), offer) {
@@ -211,15 +211,19 @@
     }
 
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
-        metrics::refused(reason);
-        log::info!("{} flow {:x} refused, nothing was run: {reason}", events::AGENT_REFUSE, p.flow);
-        let owner = Owner::new(ipv4_addr(self.target.agent), 0);
+        metrics::count_refusal(reason);
+        log::info!(
+            "{} flow {:x} refused, nothing was run: {reason}",
+            events::AGENT_FLOW_REFUSED,
+            p.flow
+        );
+        let owner = Owner::new(ipv4_addr(self.target.agent_addr), 0);
         self.send_reply(p, owner, ReplyKind::Refuse { body: refusal::response(reason) });
     }
 
     fn start_flow(&mut self, p: Packet, offer: Offer) {
         let nonce = rand::random::<u16>().max(1);
-        let owner = Owner::new(ipv4_addr(self.target.agent), nonce);
+        let owner = Owner::new(ipv4_addr(self.target.agent_addr), nonce);
         let inbox = Mailbox::default();
         let params = flow::FlowParams {
             flow_id: p.flow,
@@ -258,7 +262,7 @@
 
 /// Sends an open to the agent that decides on `offer` next.
 async fn send_offer(sock: &UdpSocket, mut p: Packet, offer: Offer) {
-    metrics::retried(Retry::PassedOn);
+    metrics::count_retry(Retry::PassedOn);
     p.offer = Some(offer);
     if let Ok(bytes) = wire::encode(&p) {
         let _ = sock.send_to(&bytes, offer.next_agent()).await;
@@ -272,7 +276,7 @@
         OfferAction::PassOn(next) => send_offer(sock, p, next).await,
         OfferAction::Accept | OfferAction::Refuse(_) => {
             let reason = Refusal::Unreachable;
-            metrics::refused(reason);
+            metrics::count_refusal(reason);
             params.send_reply(sock, ReplyKind::Refuse { body: refusal::response(reason) }).await;
         }
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -23,7 +23,7 @@
 pub use view::{Pool, Route, View};
 pub use view_builder::ViewBuilder;
 
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::metrics::{self, Refusal};
 use crate::settings::{BalancerSettings, Policy, Settings};
 use crate::store::mirror::Source;
@@ -72,7 +72,7 @@
     let second = alternate.copied();
     Some(match (attempt, route.profile.policy, second) {
         (1, _, Some(first)) => Offer { first, second: Some(primary), stage: OfferStage::Take },
-        (0, Policy::Least, _) => Offer { first: primary, second, stage: OfferStage::Ask },
+        (0, Policy::LeastLoaded, _) => Offer { first: primary, second, stage: OfferStage::Ask },
         _ => Offer { first: primary, second, stage: OfferStage::Take },
     })
 }
@@ -98,12 +98,12 @@
         balancer.zone,
         balancer.addr
     );
-    let board = Board::new(balancer.name.clone(), keys.config_prefix().into());
+    let board = ProcessState::new(balancer.name.clone(), keys.config_prefix().into());
     let admin_server = admin::Server::start(balancer.addr, board.clone()).await?;
     let source = Source {
         store: store.clone(),
         prefix: keys.root_prefix(),
-        peers: settings.peers(balancer.addr),
+        peers: settings.other_balancers(balancer.addr),
         peer_fallback: store::mirror::PeerFallback::WhenEmpty,
         batch_delay: Duration::ZERO,
         refresh: std::sync::Arc::default(),
@@ -114,15 +114,15 @@
         view.clone(),
         board.clone(),
         view_updater::HoldTimes {
-            targets: ms(settings.entry.hold_ms),
-            owners: ms(settings.entry.owner_ms),
+            targets: ms(settings.balancer_timers.missing_hold_ms),
+            owners: ms(settings.balancer_timers.owner_retention_ms),
         },
     ));
     let lease_task = tokio::task::spawn_local(maintain_registration(
         store.clone(),
         keys.clone(),
         balancer.clone(),
-        settings.agent.lease_ms,
+        settings.agent_timers.lease_ttl_ms,
     ));
     let mut term = signal(SignalKind::terminate()).context("balancer: signal")?;
     let mut int = signal(SignalKind::interrupt()).context("balancer: signal")?;
@@ -134,7 +134,7 @@
     // The fabric may send packets until it learns that the balancer is not ready.
     board.set_ready(false);
     view_task.abort();
-    let linger = ms(settings.entry.linger_ms);
+    let linger = ms(settings.balancer_timers.linger_ms);
     let _ = tokio::time::timeout(linger, forward_packets(&sock, &view)).await;
     admin_server.stop().await;
     lease_task.abort();
@@ -165,7 +165,7 @@
                 sock.send_to(&bytes, offer.first).await.map(drop)
             }
             RouteDecision::Drop(reason) => {
-                metrics::refused(reason);
+                metrics::count_refusal(reason);
                 log::debug!("{} flow {:x} dropped: {reason}", events::BALANCER_DROP, p.flow);
                 refuse_open(sock, &p, reason).await
             }
@@ -192,7 +192,7 @@
 /// Checks the invariant that packets of a profile go only to agents of its service.
 fn check_service(view: &View, port: u16, to: SocketAddrV4) {
     let same_service = view.routes.get(&port).is_some_and(|r| r.pool.owners.contains(&to));
-    metrics::invariant(same_service, "own_service", || format!("port {port} to {to}"));
+    metrics::check_invariant(same_service, "own_service", || format!("port {port} to {to}"));
 }
 
 /// Keeps the balancer registered in the store under a lease.
--- a/src/balancer/view_updater.rs
+++ b/src/balancer/view_updater.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::{TargetRegistry, View, ViewBuilder};
-use crate::admin::Board;
+use crate::admin::ProcessState;
 use crate::events;
 use crate::metrics;
 use crate::store::mirror::{MirrorEvent, Snapshot, Source};
@@ -29,7 +29,7 @@
     builder: ViewBuilder,
     snapshot: Arc<Snapshot>,
     view: Rc<RefCell<View>>,
-    board: Board,
+    board: ProcessState,
     built_at: Instant,
     is_stale: bool,
 }
@@ -37,14 +37,14 @@
 impl ViewUpdater {
     /// Rebuilds the view if it is stale, unless an injected fault prevents it.
     fn refresh(&mut self) {
-        if self.is_stale && !self.board.faults().blind {
+        if self.is_stale && !self.board.faults().freeze_view {
             self.is_stale = false;
             self.rebuild();
-            let reverted = self.snapshot.rev < self.board.copy().rev;
-            metrics::invariant(!reverted, "view_never_reverts", || {
+            let reverted = self.snapshot.rev < self.board.snapshot().rev;
+            metrics::check_invariant(!reverted, "view_never_reverts", || {
                 format!("to {}", self.snapshot.rev)
             });
-            self.board.set_copy(self.snapshot.clone());
+            self.board.set_snapshot(self.snapshot.clone());
             self.board.set_ready(true);
         }
     }
@@ -58,7 +58,7 @@
             .values()
             .map(|r| format!("{}={}/{}", r.profile.name, r.pool.table.len(), r.pool.owners.len()))
             .collect();
-        log::info!("{} view: {}", events::BALANCER_VIEW, pool_sizes.join(" "));
+        log::info!("{} view: {}", events::BALANCER_VIEW_REBUILT, pool_sizes.join(" "));
         *self.view.borrow_mut() = view;
     }
 }
@@ -68,7 +68,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     view: Rc<RefCell<View>>,
-    board: Board,
+    board: ProcessState,
     hold_times: HoldTimes,
 ) {
     let registry = TargetRegistry::new(hold_times.targets, hold_times.owners);
@@ -93,7 +93,7 @@
             MirrorEvent::StoreFailed(e) => {
                 log::warn!(
                     "{} store call failed, keeping the last view: {e:#}",
-                    events::BALANCER_STORE
+                    events::BALANCER_STORE_UNREACHABLE
                 );
                 updater.borrow_mut().builder.registry.restart_hold(Instant::now());
             }
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -16,9 +16,9 @@
 use super::snapshot::SnapshotReader;
 use super::socket::Socket;
 use super::{Settings, connect_store, pause, relay};
-use crate::admin::{self, Board};
+use crate::admin::{self, ProcessState};
 use crate::flow::Flow;
-use crate::listen::{Answer, Server};
+use crate::http::{HttpResponse, Server};
 use crate::platform::{self, packet};
 use crate::protocol::{self, Message};
 use crate::relay::Relay;
@@ -78,7 +78,7 @@
         packets: Socket::bind(settings.packets, "packets of callers").await?,
         messages: Socket::bind(settings.message_addr(), "messages of agents").await?,
     };
-    let board = Board::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
+    let board = ProcessState::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
     let admin_server = admin::Server::start(settings.message_addr().into(), board.clone()).await?;
     let ready_server = match settings.ready {
         Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
@@ -122,7 +122,7 @@
 async fn follow_store(
     settings: &Settings,
     steering: &Rc<RefCell<FlowSteering>>,
-    board: &Board,
+    board: &ProcessState,
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let source = Source {
@@ -147,7 +147,7 @@
         let mut reader = SnapshotReader::default();
         let narrow_prefix = |snapshot: &Snapshot| {
             let prefix = relay.narrow_prefix(snapshot, steering.borrow().config_version());
-            metrics::state("follows_parts", prefix.is_some().into());
+            metrics::set_state("follows_parts", prefix.is_some().into());
             prefix
         };
         let follow = mirror::follow(&source, narrow_prefix, |event| match event {
@@ -155,7 +155,7 @@
                 reader.apply_snapshot(&mut steering.borrow_mut(), snapshot);
                 board.set_ready(steering.borrow().is_ready());
                 let snapshot = Arc::new(snapshot.clone());
-                board.set_copy(snapshot.clone());
+                board.set_snapshot(snapshot.clone());
                 snapshots.send_replace(Some(snapshot));
             }
             MirrorEvent::Recovered => {
@@ -184,17 +184,20 @@
     }
 
     fn publish_gauges(&self) {
-        metrics::state("config_version", self.config_version().unwrap_or_default());
-        metrics::state("agents", self.roster.len() as u64);
-        metrics::state("flows_remembered", self.flow_count() as u64);
-        metrics::state("ready", self.is_ready().into());
+        metrics::set_state("config_version", self.config_version().unwrap_or_default());
+        metrics::set_state("agents", self.roster.len() as u64);
+        metrics::set_state("flows_remembered", self.flow_count() as u64);
+        metrics::set_state("ready", self.is_ready().into());
     }
 }
 
-async fn serve_readiness(addr: std::net::SocketAddr, board: Board) -> anyhow::Result<Server> {
+async fn serve_readiness(
+    addr: std::net::SocketAddr,
+    board: ProcessState,
+) -> anyhow::Result<Server> {
     Server::start(addr, move |request| {
-        Answer::empty(match request.path.as_str() {
-            platform::READY_PATH if board.ready() => StatusCode::OK,
+        HttpResponse::empty(match request.path.as_str() {
+            platform::READY_PATH if board.is_ready() => StatusCode::OK,
             platform::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         })
@@ -207,7 +210,7 @@
     sockets: &Sockets,
     steering: &RefCell<FlowSteering>,
     caller_port: u16,
-    board: &Board,
+    board: &ProcessState,
     refresh: &Notify,
 ) {
     let mut buf = vec![0; RECV_BUFFER_BYTES];
@@ -235,12 +238,12 @@
             sockets.messages.read_batch(&mut buf, |datagram, from| {
                 match protocol::decode(datagram) {
                     Ok((message, _)) => steering.handle_message(from, &message, now, &mut out),
-                    Err(e) => metrics::dropped(e),
+                    Err(e) => metrics::count_drop(e),
                 }
             });
         sockets.packets.read_batch(&mut buf, |datagram, _| match packet::decode(datagram) {
             Ok(seg) => steering.handle_packet(&seg, datagram, now, &mut out),
-            Err(e) => metrics::dropped(e),
+            Err(e) => metrics::count_drop(e),
         });
         if all_read {
             steering.tick(now, &mut out);
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -23,7 +23,7 @@
 pub use settings::{Settings, TimeLimits};
 pub use snapshot::SnapshotReader;
 
-use crate::listen::Server;
+use crate::http::Server;
 use crate::{events, metrics, platform};
 
 /// Prefix of the agents' registrations in the store.
@@ -70,7 +70,7 @@
 }
 
 fn log_counters() {
-    for c in metrics::snapshot() {
+    for c in metrics::counter_values() {
         log::info!(
             event = events::COUNTERS, counter = c.name, reason = c.reason, total = c.value;
             "counter total at exit"
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -123,7 +123,7 @@
     match serde_json::from_slice::<ListedAgent>(&kv.value) {
         Ok(record) => PreviousRegistration::Present(record.incarnation),
         Err(e) => {
-            metrics::dropped("entry_unreadable");
+            metrics::count_drop("entry_unreadable");
             log::error!(
                 event = events::EDGE_STORE, key = key, error:% = e;
                 "previous registration cannot be decoded; starting without it"
--- a/src/edge/reports.rs
+++ b/src/edge/reports.rs
@@ -8,7 +8,7 @@
 use ntex::http::StatusCode;
 
 use super::registration::Registration;
-use crate::listen::{Answer, Asked, Server};
+use crate::http::{HttpRequest, HttpResponse, Server};
 use crate::platform::instances;
 use crate::tracker::FlowTracker;
 use crate::{events, metrics};
@@ -26,10 +26,10 @@
 }
 
 fn handle_report(
-    request: &Asked,
+    request: &HttpRequest,
     tracker: &mut FlowTracker,
     registration: &Registration,
-) -> Answer {
+) -> HttpResponse {
     let now = Instant::now();
     match instances::decode(&request.path, &request.body, registration.target) {
         Ok(Some(instances::InstanceCall::Heartbeat(r))) => {
@@ -42,7 +42,7 @@
                 );
                 registration.set_incarnation(incarnation);
             }
-            Answer::json(instances::RESPONSE.to_string())
+            HttpResponse::json(instances::RESPONSE.to_string())
         }
         Ok(Some(instances::InstanceCall::Deregister(incarnation))) => {
             if tracker.handle_shutdown_notice(&incarnation, now) {
@@ -52,16 +52,16 @@
                     "target deregistered"
                 );
             }
-            Answer::json(instances::RESPONSE.to_string())
+            HttpResponse::json(instances::RESPONSE.to_string())
         }
-        Ok(None) => Answer::empty(StatusCode::NOT_FOUND),
+        Ok(None) => HttpResponse::empty(StatusCode::NOT_FOUND),
         Err(e) => {
-            metrics::dropped("report_unreadable");
+            metrics::count_drop("report_unreadable");
             log::warn!(
                 event = events::REPORT_IGNORED, error:% = format!("{e:#}");
                 "report of the target cannot be decoded; ignored"
             );
-            Answer::empty(StatusCode::BAD_REQUEST)
+            HttpResponse::empty(StatusCode::BAD_REQUEST)
         }
     }
 }
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -20,7 +20,7 @@
 use super::socket::Socket;
 use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
 use crate::flow::Flow;
-use crate::listen::{Answer, Server};
+use crate::http::{HttpResponse, Server};
 use crate::platform::packet;
 use crate::protocol::{self, Message};
 use crate::steering::ListedAgent;
@@ -138,7 +138,7 @@
     let report_addr = settings.reports.with_context(missing_field("reports"))?;
     let report_server = reports::serve(report_addr, tracker.clone(), registration.clone()).await?;
     let ready_server = match settings.ready {
-        Some(addr) => Some(Server::start(addr, |_| Answer::empty(StatusCode::OK)).await?),
+        Some(addr) => Some(Server::start(addr, |_| HttpResponse::empty(StatusCode::OK)).await?),
         None => None,
     };
     let registration_loop =
@@ -214,8 +214,8 @@
     }
 
     fn publish_gauges(&self) {
-        metrics::state("flows", self.flow_count() as u64);
-        metrics::state("waiting", self.waiting_count().into());
+        metrics::set_state("flows", self.flow_count() as u64);
+        metrics::set_state("waiting", self.waiting_count().into());
     }
 }
 
@@ -240,7 +240,7 @@
     sockets.messages.read_batch(buf, |datagram, from| {
         activity.received = true;
         let Ok((message, packet)) = protocol::decode(datagram) else {
-            metrics::dropped("not a message");
+            metrics::count_drop("not a message");
             return;
         };
         activity.unregistered |= message == Message::Ping { listed: false };
@@ -249,7 +249,7 @@
             (false, Ok(seg)) => {
                 tracker.handle_message(from, &message, Some(&seg), packet, now, out)
             }
-            (false, Err(e)) => metrics::dropped(e),
+            (false, Err(e)) => metrics::count_drop(e),
         }
     });
     activity
@@ -265,7 +265,7 @@
 ) {
     sockets.outbound.read_batch(buf, |datagram, _| match packet::decode(datagram) {
         Ok(seg) => tracker.handle_target_packet(&seg, datagram, now, out, packet::clear_bounced),
-        Err(e) => metrics::dropped(e),
+        Err(e) => metrics::count_drop(e),
     });
 }
 
--- a/src/fabric/connection.rs
+++ b/src/fabric/connection.rs
@@ -53,10 +53,10 @@
         }
         OpenResult::Refused(body) => refuse(caller, &body).await,
         OpenResult::TimedOut => {
-            metrics::refused(Refusal::OpenTimeout);
+            metrics::count_refusal(Refusal::OpenTimeout);
             log::warn!(
                 "{} flow {:x} on port {}: no agent accepted it; refusing the caller",
-                events::FABRIC_OPEN,
+                events::FABRIC_OPEN_TIMEOUT,
                 ctx.flow,
                 ctx.port
             );
@@ -101,7 +101,7 @@
                 Err(_) => break,
             }
         }
-        metrics::retried(Retry::OpenTimeout);
+        metrics::count_retry(Retry::OpenTimeout);
         packet.seq += 1;
     }
     OpenResult::TimedOut
@@ -222,15 +222,15 @@
         if self.unacked.stalled_for(now) >= self.ctx.timeouts.silence {
             log::warn!(
                 "{} flow {:x}: agent acknowledges nothing; resetting the caller",
-                events::FABRIC_SILENT,
+                events::FABRIC_ACK_TIMEOUT,
                 self.ctx.flow
             );
-            metrics::refused(Refusal::Silent);
+            metrics::count_refusal(Refusal::Silent);
             return Some(EndReason::AgentGone);
         }
         let due: Vec<Packet> = self.unacked.resend(now).cloned().collect();
         for mut packet in due {
-            metrics::retried(Retry::PacketTimeout);
+            metrics::count_retry(Retry::PacketTimeout);
             packet.ack = self.response.next_seq();
             self.ctx.sprayer.send(&packet).await;
         }
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -22,7 +22,7 @@
 
 use sprayer::{Outcome, Sprayer};
 
-use crate::admin::{self, Board, Faults};
+use crate::admin::{self, Faults, ProcessState};
 use crate::events;
 use crate::settings::{FabricSettings, Settings};
 use crate::wire::{self, Owner, Packet, PacketKind, Reply, ReplyKind};
@@ -51,8 +51,8 @@
     const fn new(settings: &FabricSettings) -> Self {
         Self {
             rto: Duration::from_millis(settings.rto_ms),
-            open: Duration::from_millis(settings.open_ms),
-            silence: Duration::from_millis(settings.give_up_ms),
+            open: Duration::from_millis(settings.open_timeout_ms),
+            silence: Duration::from_millis(settings.ack_timeout_ms),
         }
     }
 }
@@ -94,7 +94,7 @@
     let socket =
         UdpSocket::bind(f.addr).await.with_context(|| format!("fabric: binding {}", f.addr))?;
     let balancers: Vec<SocketAddr> = settings.balancers.iter().map(|b| b.addr).collect();
-    let board = Board::new("fabric".into(), Arc::default());
+    let board = ProcessState::new("fabric".into(), Arc::default());
     board.set_ready(true);
     let admin_server = admin::Server::start(f.addr, board.clone()).await?;
     let sprayer = Sprayer::new(socket, balancers.clone(), board.clone());
@@ -109,7 +109,7 @@
         let flow_settings = (p.listen.port(), f.addr, Timeouts::new(f));
         tasks.spawn_local(accept_callers(listener, flow_settings, sprayer.clone(), flows.clone()));
     }
-    let interval = Duration::from_millis(f.probe_ms);
+    let interval = Duration::from_millis(f.probe_interval_ms);
     tasks.spawn_local(rotation::maintain(sprayer.clone(), balancers, interval));
     tasks.spawn_local(watch_faults(sprayer.clone(), flows.clone()));
     let mut term = signal(SignalKind::terminate()).context("fabric: installing SIGTERM handler")?;
@@ -204,8 +204,8 @@
         if faults == previous {
             continue;
         }
-        log::warn!("{} injected faults set to {faults:?}", events::FABRIC_FAULT);
-        match (previous.mute, faults.mute) {
+        log::warn!("{} injected faults set to {faults:?}", events::FABRIC_FAULTS_SET);
+        match (previous.mute_flows, faults.mute_flows) {
             (false, true) => sprayer.set_muted_flows(flows.borrow().keys().copied().collect()),
             (true, false) => sprayer.set_muted_flows(HashSet::new()),
             _ => {}
--- a/src/fabric/rotation.rs
+++ b/src/fabric/rotation.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Sprayer;
-use crate::admin::Peer;
+use crate::admin::Connection;
 use crate::events;
 
 /// Consecutive failed health checks that take a balancer out of rotation.
@@ -13,17 +13,17 @@
 
 struct HealthCheck {
     addr: SocketAddr,
-    peer: Option<Peer>,
+    peer: Option<Connection>,
     failures: u32,
 }
 
 impl HealthCheck {
     async fn run(&mut self, timeout: Duration) {
         if self.peer.is_none() {
-            self.peer = Peer::connect(self.addr, timeout).await.ok();
+            self.peer = Connection::connect(self.addr, timeout).await.ok();
         }
         let ready = match &self.peer {
-            Some(peer) => peer.ready().await,
+            Some(peer) => peer.fetch_readiness().await,
             None => Ok(false),
         };
         if ready.is_err() {
--- a/src/fabric/sprayer.rs
+++ b/src/fabric/sprayer.rs
@@ -9,7 +9,7 @@
 
 use tokio::net::UdpSocket;
 
-use crate::admin::{Board, Faults};
+use crate::admin::{Faults, ProcessState};
 use crate::metrics;
 use crate::wire::{self, Owner, Packet, PacketKind};
 
@@ -31,13 +31,13 @@
     socket: Rc<UdpSocket>,
     in_rotation: Rc<RefCell<Vec<SocketAddr>>>,
     muted_flows: Rc<RefCell<HashSet<u64>>>,
-    board: Board,
+    board: ProcessState,
 }
 
 impl Sprayer {
     /// Creates a sprayer with all `balancers` in rotation that reads its faults
     /// from `board`.
-    pub fn new(socket: UdpSocket, balancers: Vec<SocketAddr>, board: Board) -> Self {
+    pub fn new(socket: UdpSocket, balancers: Vec<SocketAddr>, board: ProcessState) -> Self {
         Self {
             socket: Rc::new(socket),
             in_rotation: Rc::new(RefCell::new(balancers)),
@@ -68,7 +68,7 @@
 
     /// Sends a packet to a random balancer in rotation.
     pub async fn send(&self, packet: &Packet) {
-        metrics::invariant(
+        metrics::check_invariant(
             packet.kind == PacketKind::Open || packet.owner != Owner::NONE,
             "owner_named",
             || format!("flow {:x} {:?}", packet.flow, packet.kind),
@@ -84,15 +84,15 @@
     /// Draws what happens to a packet of `flow`, in either direction.
     pub fn random_outcome(&self, flow: u64) -> Outcome {
         let faults = self.board.faults();
-        if self.muted_flows.borrow().contains(&flow) || occurs(faults.lose) {
+        if self.muted_flows.borrow().contains(&flow) || occurs(faults.lost_permille) {
             return Outcome::Dropped;
         }
-        Outcome::Delivered(if occurs(faults.double) { 2 } else { 1 })
+        Outcome::Delivered(if occurs(faults.duplicated_permille) { 2 } else { 1 })
     }
 
     /// Draws the injected delay of one copy of a packet, if it is delayed.
     pub fn random_delay(&self) -> Option<Duration> {
-        let is_delayed = occurs(self.board.faults().delay);
+        let is_delayed = occurs(self.board.faults().delayed_permille);
         is_delayed.then(|| Duration::from_millis(rand::random_range(1..=MAX_DELAY_MS)))
     }
 
--- a/src/script/mod.rs
+++ b/src/script/mod.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, bail};
 
-use crate::admin::{Faults, Peer, faults};
+use crate::admin::{Connection, Faults, faults};
 use crate::ctl;
 use crate::settings::Settings;
 use crate::store;
@@ -91,8 +91,10 @@
             }
             ["store", "forget"] => Self::store_fault(|f| f.clear_history = true),
             ["store", "lapse"] => Self::store_fault(|f| f.refuse_keepalives = true),
-            ["fabric", "lose", n] => Self::Fabric(Faults { lose: n.parse()?, ..Faults::default() }),
-            ["fabric", "mute"] => Self::Fabric(Faults { mute: true, ..Faults::default() }),
+            ["fabric", "lose", n] => {
+                Self::Fabric(Faults { lost_permille: n.parse()?, ..Faults::default() })
+            }
+            ["fabric", "mute"] => Self::Fabric(Faults { mute_flows: true, ..Faults::default() }),
             ["fabric", "ok"] => Self::Fabric(Faults::default()),
             ["kill", p] => Self::Kill((*p).into()),
             ["stop", p] => Self::Stop((*p).into()),
@@ -121,10 +123,10 @@
     /// processes, which only [`Site::apply`](crate::up::Site::apply) supports.
     pub async fn apply(&self, s: &Settings) -> anyhow::Result<()> {
         match self {
-            Self::Drain(t) => ctl::drain(s, t).await,
-            Self::Resume(t) => ctl::resume(s, t).await,
-            Self::Limit(profile, flows) => ctl::limit(s, profile, *flows).await,
-            Self::Store(faults) => ctl::fault(s, faults).await,
+            Self::Drain(t) => ctl::drain_target(s, t).await,
+            Self::Resume(t) => ctl::resume_target(s, t).await,
+            Self::Limit(profile, flows) => ctl::set_flow_limit(s, profile, *flows).await,
+            Self::Store(faults) => ctl::set_store_faults(s, faults).await,
             Self::Fabric(faults) => inject_faults(s.fabric.addr, faults).await,
             Self::Balancer(name, faults) => inject_faults(s.balancer(name)?.addr, faults).await,
             Self::Target(name, faults) => faults::post(s.target(name)?.addr, faults).await,
@@ -136,7 +138,7 @@
 }
 
 async fn inject_faults(addr: std::net::SocketAddr, faults: &Faults) -> anyhow::Result<()> {
-    Peer::connect(addr, FAULT_TIMEOUT).await?.disturb(faults.clone()).await
+    Connection::connect(addr, FAULT_TIMEOUT).await?.set_faults(faults.clone()).await
 }
 
 /// Calls `apply` with the action of each step at its time. Steps are in order of time.
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -371,7 +371,7 @@
     /// oldest packet.
     fn queue_packet(&mut self, received: &ReceivedPacket<'_>) {
         if self.queued_packets.len() >= self.policy.max_queued_packets {
-            metrics::refused(Refusal::NoConfig);
+            metrics::count_refusal(Refusal::NoConfig);
             self.queued_packets.pop_front();
         }
         self.queue_check_at.get_or_insert(received.now + self.policy.queue_check_interval);
@@ -429,7 +429,7 @@
 }
 
 fn send_refusal(flow: Flow, seq: u32, reason: Refusal, out: &mut impl Transmit) {
-    metrics::refused(reason);
+    metrics::count_refusal(reason);
     log::info!(event = events::FLOW_REFUSED, flow:% = flow, reason:% = reason; "flow refused");
     out.send_reset(flow, seq);
 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{Change, Kv, WatchStore};
-use crate::admin::Peer;
+use crate::admin::Connection;
 use crate::metrics::{self, Retry};
 
 /// Pause before a failed call is retried.
@@ -190,12 +190,12 @@
                 }
             }
             Ok(ReadOutcome::Compacted) => {
-                metrics::retried(Retry::WatchCompacted);
+                metrics::count_retry(Retry::WatchCompacted);
                 needs_list = true;
             }
             Err(e) => {
                 on_event(MirrorEvent::StoreFailed(&e));
-                metrics::retried(Retry::StoreError);
+                metrics::count_retry(Retry::StoreError);
                 recovering = true;
                 let ask_peers = source.peer_fallback == PeerFallback::Always || snapshot.rev == 0;
                 if ask_peers && update_from_peers(source, &mut snapshot).await {
@@ -273,13 +273,13 @@
 }
 
 async fn fetch_peer_snapshot(addr: SocketAddr) -> Option<Arc<Snapshot>> {
-    match Peer::connect(addr, PEER_TIMEOUT).await {
-        Ok(peer) => peer.copy().await,
+    match Connection::connect(addr, PEER_TIMEOUT).await {
+        Ok(peer) => peer.fetch_snapshot().await,
         Err(e) => Err(e),
     }
     .inspect_err(|e| {
         log::debug!(
-            event = crate::events::PEER_SILENT, error:% = format!("{e:#}");
+            event = crate::events::PEER_COPY_FAILED, error:% = format!("{e:#}");
             "fetching a copy from a peer failed"
         );
     })
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -135,7 +135,7 @@
     if !serves(server.settings.service, &path) {
         log::warn!(
             "{} target {} does not serve {path}; answering 421",
-            events::TARGET_FOREIGN,
+            events::TARGET_WRONG_SERVICE,
             server.settings.name
         );
         return server.response(StatusCode::MISDIRECTED_REQUEST).finish();
@@ -154,8 +154,8 @@
         state.load.in_progress += 1;
         Duration::from_millis(state.faults.delay_ms)
     };
-    let is_cold = server.started.elapsed() < Duration::from_millis(server.settings.cold_ms);
-    let warm_time = Duration::from_millis(server.settings.work_ms);
+    let is_cold = server.started.elapsed() < Duration::from_millis(server.settings.warm_up_ms);
+    let warm_time = Duration::from_millis(server.settings.service_time_ms);
     let processing_time =
         injected_delay + if is_cold { warm_time + COLD_START_DELAY } else { warm_time };
     let deadline = req
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -108,9 +108,9 @@
         out: &mut impl Transmit,
     ) {
         let (flow, now) = (received.flow(), received.now);
-        if events::sampled(flow.hash64()) {
+        if events::is_sampled(flow.hash64()) {
             log::info!(
-                event = events::FLOW_TAKEN, flow:% = flow, waiting = self.waiting,
+                event = events::FLOW_ACCEPTED, flow:% = flow, waiting = self.waiting,
                 flows = self.flows.len(), aged = open.aged;
                 "flow accepted (sampled)"
             );
@@ -141,7 +141,7 @@
         now: Instant,
         out: &mut impl Transmit,
     ) {
-        metrics::refused(reason);
+        metrics::count_refusal(reason);
         log::info!(
             event = events::OPEN_DECLINED, flow:% = flow, reason:% = reason,
             waiting = self.waiting, flows = self.flows.len();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,11 +41,11 @@
 /// Invariants that the site's processes broke: as the living ones count them,
 /// and as any of them logged.
 pub async fn violations(site: &Site) -> u64 {
-    let counted: u64 = fleet::statuses(&site.settings)
+    let counted: u64 = fleet::fetch_statuses(&site.settings)
         .await
         .into_iter()
         .filter_map(|(_, st)| st.ok())
-        .flat_map(|st| st.counts)
+        .flat_map(|st| st.counters)
         .filter(|c| c.name == "jujubepost.violations")
         .map(|c| c.value)
         .sum();
--- a/tests/lossy.rs
+++ b/tests/lossy.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use jujubepost::admin::{Faults, Peer};
+use jujubepost::admin::{Connection, Faults};
 use jujubepost::bench::{self, Load};
 
 async fn serves_despite(name: &str, base: u16, faults: Faults) {
     let site = common::start(name, base, 3, 3, 2).await;
     let s = site.settings.clone();
-    let fabric = Peer::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
-    fabric.disturb(faults).await.unwrap();
+    let fabric = Connection::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
+    fabric.set_faults(faults).await.unwrap();
     let args = Load { feeds: 10, requests: 100, secs: 4, ..Load::default() };
     let reports = bench::measure(&s, &args).await;
     for r in &reports {
@@ -23,21 +23,27 @@
 
 #[ntex::test]
 async fn survives_packet_loss() {
-    serves_despite("lossy", 26500, Faults { lose: 50, ..Faults::default() }).await;
+    serves_despite("lossy", 26500, Faults { lost_permille: 50, ..Faults::default() }).await;
 }
 
 #[ntex::test]
 async fn survives_duplication() {
-    serves_despite("doubled", 27000, Faults { double: 300, ..Faults::default() }).await;
+    serves_despite("doubled", 27000, Faults { duplicated_permille: 300, ..Faults::default() })
+        .await;
 }
 
 #[ntex::test]
 async fn survives_reordering() {
-    serves_despite("reorder", 27500, Faults { delay: 300, ..Faults::default() }).await;
+    serves_despite("reorder", 27500, Faults { delayed_permille: 300, ..Faults::default() }).await;
 }
 
 #[ntex::test]
 async fn survives_loss_duplication_and_reordering() {
-    let faults = Faults { lose: 30, double: 100, delay: 200, ..Faults::default() };
+    let faults = Faults {
+        lost_permille: 30,
+        duplicated_permille: 100,
+        delayed_permille: 200,
+        ..Faults::default()
+    };
     serves_despite("mixed", 28000, faults).await;
 }
