--- a/tests/balancer_death.rs
+++ b/tests/balancer_death.rs
@@ -10,7 +10,7 @@
 
 #[ntex::test]
 async fn death_breaks_nothing() {
-    let mut site = common::start("death", 21300, 3, 3, 2).await;
+    let mut site = common::start_site("death", 21300, 3, 3, 2).await;
     let args = Load { feeds: 6, requests: 60, secs: 3, ..Load::default() };
     let settings = site.settings.clone();
     let run = tokio::task::spawn_local(async move { bench::measure(&settings, &args).await });
--- a/tests/resume.rs
+++ b/tests/balancer_resume.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::protocol::{Answer, FlowStatus};
 use jujubepost::steering::FlowSteering;
 use jujubepost::store::mirror::{self, MirrorEvent, PeerFallback, Source};
@@ -18,28 +18,28 @@
 /// How long the balancer does not run; longer than `dead_after`.
 const PAUSED: Duration = Duration::from_secs(5);
 
-fn packet(s: &mut FlowSteering, now: Instant) -> Wires {
-    let mut w = Wires::default();
-    s.handle_packet(&data(1, 1_001, 77, 10), b"packet", now, &mut w);
-    s.tick(now, &mut w);
-    w
+fn receive_packet(s: &mut FlowSteering, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
+    s.handle_packet(&caller_data(1, 1_001, 77, 10), b"packet", now, &mut out);
+    s.tick(now, &mut out);
+    out
 }
 
-fn tick(s: &mut FlowSteering, now: Instant) -> Wires {
-    let mut w = Wires::default();
-    s.tick(now, &mut w);
-    w
+fn tick(s: &mut FlowSteering, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
+    s.tick(now, &mut out);
+    out
 }
 
 /// Number of resets after `agents` denied the flow and the others timed out.
 fn denied(s: &mut FlowSteering, agents: impl IntoIterator<Item = u8>, now: Instant) -> usize {
-    let mut w = packet(s, now);
+    let mut out = receive_packet(s, now);
     for n in agents {
         let answer = Answer { flow: flow(1), status: FlowStatus::Unknown, hint: None };
-        s.handle_answers(agent(n), &[answer], 0, now, &mut w);
-        s.tick(now, &mut w);
+        s.handle_answers(agent(n), &[answer], 0, now, &mut out);
+        s.tick(now, &mut out);
     }
-    w.resets.len() + tick(s, now + 500 * MS).resets.len()
+    out.resets.len() + tick(s, now + 500 * MS).resets.len()
 }
 
 /// Guards against resetting a live flow whose agent was listed while the balancer did not
@@ -47,7 +47,7 @@
 #[test]
 fn no_reset_before_store_answers() {
     let now = Instant::now();
-    let mut s = steer(3, now);
+    let mut s = steering(3, now);
     let back = now + PAUSED;
     s.resume(PAUSED);
     assert_eq!(denied(&mut s, 1..=3, back), 0);
@@ -59,7 +59,7 @@
 #[test]
 fn pause_does_not_count_as_silence() {
     let now = Instant::now();
-    let mut s = steer(3, now);
+    let mut s = steering(3, now);
     s.roster.record_timeout(agent(3), now + 50 * MS);
     let back = now + 100 * MS + PAUSED;
     s.resume(PAUSED);
@@ -72,8 +72,8 @@
 #[test]
 fn unlisted_agent_kept_over_pause() {
     let now = Instant::now();
-    let mut s = steer(3, now);
-    let listed: Vec<_> = (1..=2).map(announced).collect();
+    let mut s = steering(3, now);
+    let listed: Vec<_> = (1..=2).map(listed_agent).collect();
     s.roster.update(&listed, now + 50 * MS);
     tick(&mut s, now + 50 * MS);
     s.roster.handle_pong(agent(3), SERVICE, 0, now + 60 * MS);
--- a/tests/balancer_stop.rs
+++ b/tests/balancer_stop.rs
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn stop_breaks_nothing() {
-    let mut site = common::start("lbstop", 22800, 3, 3, 2).await;
+    let mut site = common::start_site("lbstop", 22800, 3, 3, 2).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Helpers shared by the tests: small sites on loopback with their own ports.
+//! Helpers shared by the tests: starting sites on loopback ports, a stub server, and
+//! counting broken invariants.
 
 #![allow(dead_code)]
 
-pub mod wires;
+pub mod fixtures;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -16,31 +17,38 @@
     PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"))
 }
 
-/// Starts a small site whose ports start at `base`: `lbs` balancers,
-/// `meters` meter targets and `fieldlogs` fieldlog targets.
-pub async fn start(name: &str, base: u16, lbs: u16, meters: u16, fieldlogs: u16) -> Site {
-    let plan = Plan::new(base).balancers(lbs).meters(meters).fieldlogs(fieldlogs);
+/// Starts a site of `balancers` balancers, and `meters` and `fieldlogs` targets of these
+/// two services. Its ports start at `base_port`.
+pub async fn start_site(
+    name: &str,
+    base_port: u16,
+    balancers: u16,
+    meters: u16,
+    fieldlogs: u16,
+) -> Site {
+    let plan = Plan::new(base_port).balancers(balancers).meters(meters).fieldlogs(fieldlogs);
     let path = plan.write(name).unwrap();
     Site::start(&exe(), &path).await.unwrap()
 }
 
-/// A server that sends `answer` once it was asked something, and then nothing more.
-pub fn falls_silent(answer: &'static [u8]) -> SocketAddr {
+/// Starts a server that sends `response` to the first request on its first connection, and
+/// nothing afterwards. Returns its address.
+pub fn serve_one_response(response: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut buf = [0; 1_024];
         assert!(stream.read(&mut buf).unwrap() > 0);
-        stream.write_all(answer).unwrap();
+        stream.write_all(response).unwrap();
         while stream.read(&mut buf).is_ok_and(|n| n > 0) {}
     });
     addr
 }
 
-/// Invariants that the site's processes broke: as the living ones count them,
-/// and as any of them logged.
-pub async fn violations(site: &Site) -> u64 {
+/// Invariant violations in the site's processes: those that running processes count,
+/// plus those in any log.
+pub async fn violation_count(site: &Site) -> u64 {
     let counted: u64 = fleet::statuses(&site.settings)
         .await
         .into_iter()
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn relists_after_compaction() {
-    let mut site = common::start("compact", 23_500, 2, 1, 0).await;
+    let mut site = common::start_site("compact", 23_500, 2, 1, 0).await;
     let s = site.settings.clone();
     let steps =
         ["freeze lb-0", "limit meter 77", "limit meter 78", "store forget", "limit meter 79"];
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -10,7 +10,7 @@
 
 #[ntex::test]
 async fn drain_keeps_feeds() {
-    let site = common::start("drain", 21900, 2, 3, 0).await;
+    let site = common::start_site("drain", 21900, 2, 3, 0).await;
     let settings = site.settings.clone();
     let store = store::Client::new(settings.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
--- a/tests/whole.rs
+++ b/tests/end_to_end.rs
@@ -1,5 +1,5 @@
-//! The platform's form end to end, on the stand-ins: real balancers and
-//! agents as processes, callers that keep their flows while things change.
+//! End-to-end tests with balancers and agents as processes, on simulated platform
+//! services: flows survive planned work, crashes and store failures.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -11,24 +11,24 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn dir(name: &str) -> PathBuf {
+fn test_dir(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("jujubepost-whole-{name}-{}", std::process::id()))
 }
 
-async fn start(name: &str, plan: Plan) -> Trial {
+async fn start_trial(name: &str, plan: Plan) -> Trial {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"));
-    Trial::start(&exe, &dir(name), plan).await.unwrap()
+    Trial::start(&exe, &test_dir(name), plan).await.unwrap()
 }
 
-/// What holds whatever happens.
-fn promises(r: &Report) {
+/// Checks what every run guarantees: no request runs twice or reaches another service.
+fn assert_isolated_and_run_once(r: &Report) {
     assert_eq!(r.doubled, 0, "ran twice: {r}");
     assert_eq!(r.foreign, 0, "another service's request: {r}");
 }
 
-async fn end(name: &str, trial: Trial) {
-    assert_eq!(trial.down().await, Vec::<String>::new(), "had to be killed");
-    let _ = std::fs::remove_dir_all(dir(name));
+async fn stop_trial(name: &str, trial: Trial) {
+    assert_eq!(trial.down().await, Vec::<String>::new(), "processes that did not stop in time");
+    let _ = std::fs::remove_dir_all(test_dir(name));
 }
 
 async fn get(url: String) -> String {
@@ -37,20 +37,20 @@
     String::from_utf8(res.body().await.unwrap().to_vec()).unwrap()
 }
 
-/// The value of one fact in a process's metrics.
-fn total(text: &str, fact: &str) -> f64 {
+/// The value of `fact` in the metrics `text`.
+fn fact_value(text: &str, fact: &str) -> f64 {
     let line = text.lines().find(|l| l.contains(&format!("fact=\"{fact}\""))).unwrap();
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
 #[ntex::test]
-async fn calm_run() {
+async fn no_failures_without_faults() {
     let plan = Plan { base: 26_000, secs: 3, ..Plan::default() };
-    let mut t = start("calm", plan).await;
+    let mut t = start_trial("calm", plan).await;
     let r = t
         .play(async |t: &mut Trial| {
             tokio::time::sleep(1_500 * MS).await;
-            // What the processes say of themselves meanwhile.
+            // Metrics and state reports while the load runs.
             let entry = t.inspect(true, 0, 0);
             let sidecar = t.inspect(false, 0, 0);
             let text = get(format!("http://{sidecar}/metrics")).await;
@@ -59,28 +59,33 @@
             for fact in ["config_version", "message_bytes", "sends_refused", "read_backlogs"] {
                 assert!(text.contains(&format!("fact=\"{fact}\"")), "{fact}: {text}");
             }
-            assert!(total(&text, "carried_bytes") > total(&text, "message_bytes"), "{text}");
+            assert!(
+                fact_value(&text, "carried_bytes") > fact_value(&text, "message_bytes"),
+                "{text}"
+            );
             let flow = "100.64.0.7:1000%3E198.18.0.1:443";
-            let told = get(format!("http://{entry}/beliefs?flow={flow}")).await;
-            let told: serde_json::Value = serde_json::from_str(&told).unwrap();
-            assert_eq!((&told["version"], &told["flow"]["service"]), (&1.into(), &"meter".into()));
-            assert_eq!(told["agents"].as_array().unwrap().len(), 6);
+            let state = get(format!("http://{entry}/beliefs?flow={flow}")).await;
+            let state: serde_json::Value = serde_json::from_str(&state).unwrap();
+            assert_eq!(
+                (&state["version"], &state["flow"]["service"]),
+                (&1.into(), &"meter".into())
+            );
+            assert_eq!(state["agents"].as_array().unwrap().len(), 6);
             Ok(())
         })
         .await
         .unwrap();
-    promises(&r);
+    assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
     assert!(r.served > 300, "{r}");
-    end("calm", t).await;
+    stop_trial("calm", t).await;
 }
 
-/// Balancers are stopped and started in turn, agents too, a target leaves:
-/// planned work breaks no flow.
+/// Restarting balancers and agents in turn, and draining a target, breaks no flow.
 #[ntex::test]
-async fn planned_work() {
+async fn planned_work_breaks_no_flow() {
     let plan = Plan { base: 26_100, secs: 12, ..Plan::default() };
-    let mut t = start("planned", plan).await;
+    let mut t = start_trial("planned", plan).await;
     let r = t
         .play(async |t: &mut Trial| {
             for label in ["entry-0-0", "sidecar-0-1", "entry-1-1", "sidecar-1-0"] {
@@ -93,17 +98,16 @@
         })
         .await
         .unwrap();
-    promises(&r);
+    assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    end("planned", t).await;
+    stop_trial("planned", t).await;
 }
 
-/// Processes are killed and frozen: nothing runs twice, nothing reaches
-/// another service, and flows whose targets live go on.
+/// Flows survive killed and suspended processes as long as their targets run.
 #[ntex::test]
-async fn killed_and_frozen() {
+async fn flows_survive_killed_and_frozen() {
     let plan = Plan { base: 26_200, secs: 10, hash: Hash::Steady, ..Plan::default() };
-    let mut t = start("killed", plan).await;
+    let mut t = start_trial("killed", plan).await;
     let r = t
         .play(async |t: &mut Trial| {
             for label in ["entry-0-1", "sidecar-0-0"] {
@@ -115,7 +119,7 @@
             t.send("sidecar-1-1", Signal::SIGSTOP);
             tokio::time::sleep(1_000 * MS).await;
             t.send("sidecar-1-1", Signal::SIGCONT);
-            // All agents at once: every balancer's memory is all there is.
+            // All agents of zone 0 at once: only the balancers still know the flows.
             let agents: Vec<_> = (0..3).map(|n| format!("sidecar-0-{n}")).collect();
             agents.iter().for_each(|label| t.kill(label));
             tokio::time::sleep(300 * MS).await;
@@ -124,77 +128,81 @@
         })
         .await
         .unwrap();
-    promises(&r);
+    assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    end("killed", t).await;
+    stop_trial("killed", t).await;
 }
 
-async fn fault(t: &Trial, faults: &Faults) {
-    fault_at(t.store(), faults).await;
+async fn set_store_faults(t: &Trial, faults: &Faults) {
+    set_faults_at(t.store(), faults).await;
 }
 
-async fn fault_at(store: std::net::SocketAddrV4, faults: &Faults) {
+async fn set_faults_at(store: std::net::SocketAddrV4, faults: &Faults) {
     let client = ntex::client::Client::new().await;
     let url = format!("http://{store}/fault");
     assert!(client.post(url).send_json(faults).await.unwrap().status().is_success());
 }
 
-async fn store(t: &Trial) -> kv::Client {
+async fn store_client(t: &Trial) -> kv::Client {
     kv::Client::new(t.store().into(), 1_000 * MS, 1_000 * MS).await.unwrap()
 }
 
-/// Waits until each data centre's `balancers` have `version` of the configuration in
-/// force, which may take 3 s from now on.
-async fn in_force(t: &Trial, balancers: u8, version: u64) -> anyhow::Result<()> {
-    let since = Instant::now();
+/// Waits until `balancers` balancers in each zone have `version` of the configuration in
+/// force; fails after 3 s.
+async fn wait_in_force(t: &Trial, balancers: u8, version: u64) -> anyhow::Result<()> {
+    let start = Instant::now();
     let all: Vec<_> = (0..2).flat_map(|z| (0..balancers).map(move |n| (z, n))).collect();
     loop {
         let mut versions = Vec::new();
         for (z, n) in &all {
-            let told = get(format!("http://{}/beliefs", t.inspect(true, *z, *n))).await;
-            let told: serde_json::Value = serde_json::from_str(&told)?;
-            versions.push(told["version"].as_u64());
+            let state = get(format!("http://{}/beliefs", t.inspect(true, *z, *n))).await;
+            let state: serde_json::Value = serde_json::from_str(&state)?;
+            versions.push(state["version"].as_u64());
         }
         if versions.iter().all(|v| *v == Some(version)) {
             return Ok(());
         }
-        assert!(since.elapsed() < Duration::from_secs(3), "{versions:?}");
+        assert!(start.elapsed() < Duration::from_secs(3), "{versions:?}");
         tokio::time::sleep(50 * MS).await;
     }
 }
 
-/// The store is away longer than entries live, forgets its history and loses
-/// answers; a change made right after its return is in force within 3 s.
+/// After an outage longer than registrations live, with lost history and responses, a
+/// change is in force within 3 s.
 #[ntex::test]
-async fn store_troubles() {
+async fn change_applies_after_store_outage() {
     let plan = Plan { base: 26_300, secs: 14, ..Plan::default() };
-    let mut t = start("store", plan).await;
+    let mut t = start_trial("store", plan).await;
     let r = t
         .play(async |t: &mut Trial| {
-            fault(t, &Faults { outage: true, ..Faults::default() }).await;
+            set_store_faults(t, &Faults { outage: true, ..Faults::default() }).await;
             tokio::time::sleep(4_000 * MS).await;
-            fault(t, &Faults { clear_history: true, lost_responses: 2, ..Faults::default() }).await;
-            let client = store(t).await;
+            set_store_faults(
+                t,
+                &Faults { clear_history: true, lost_responses: 2, ..Faults::default() },
+            )
+            .await;
+            let client = store_client(t).await;
             let old = client.get(config::CONFIG_KEY).await?.unwrap();
             let newer = String::from_utf8(old.value)?.replace("\"version\":1", "\"version\":2");
-            // The answer is lost; the write has taken effect.
+            // The response is lost, but the write takes effect.
             let _ = client.put(config::CONFIG_KEY, newer.as_bytes(), 0).await;
-            in_force(t, 2, 2).await
+            wait_in_force(t, 2, 2).await
         })
         .await
         .unwrap();
-    promises(&r);
+    assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    end("store", t).await;
+    stop_trial("store", t).await;
 }
 
-/// Guards against balancers on which a change is not in force in time after they were
-/// suspended: one change is made meanwhile, the next right after.
+/// Guards against late changes on balancers that were suspended: one change is made
+/// meanwhile, the next right afterwards.
 #[ntex::test]
-async fn change_after_freeze() {
+async fn change_applies_after_freeze() {
     let balancers = 8;
     let plan = Plan { base: 27_400, balancers, ..Plan::default() };
-    let t = start("freeze", plan).await;
+    let t = start_trial("freeze", plan).await;
     let entries: Vec<_> = t.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
     for version in [2, 4] {
         entries.iter().for_each(|label| t.send(label, Signal::SIGSTOP));
@@ -204,132 +212,130 @@
         entries.iter().for_each(|label| t.send(label, Signal::SIGCONT));
         tokio::time::sleep(50 * MS).await;
         t.configure(version + 1).await.unwrap();
-        in_force(&t, balancers, version + 1).await.unwrap();
+        wait_in_force(&t, balancers, version + 1).await.unwrap();
     }
-    let mut paused = 0.0;
+    let mut paused_ms = 0.0;
     for (z, n) in (0..2).flat_map(|z| (0..balancers).map(move |n| (z, n))) {
         let text = get(format!("http://{}/metrics", t.inspect(true, z, n))).await;
-        assert!(total(&text, "store_age_ms") < 4_000.0, "{text}");
-        paused += total(&text, "paused_ms");
+        assert!(fact_value(&text, "store_age_ms") < 4_000.0, "{text}");
+        paused_ms += fact_value(&text, "paused_ms");
     }
-    assert!(paused > 0.0, "no balancer noticed that it was suspended");
-    end("freeze", t).await;
+    assert!(paused_ms > 0.0, "no balancer noticed that it was suspended");
+    stop_trial("freeze", t).await;
 }
 
-/// The store takes away the agents' entries, whose leases stand, while no
-/// balancer runs that knew them: the agents write them again.
+/// Agents register again if their keys are deleted while their leases are valid, also
+/// when no running balancer knew them.
 #[ntex::test]
-async fn entries_taken_away() {
+async fn deleted_registrations_restored() {
     let plan = Plan { base: 26_400, secs: 2, targets: 1, ..Plan::default() };
-    let mut t = start("taken", plan).await;
+    let mut t = start_trial("taken", plan).await;
     let balancers = ["entry-0-0", "entry-0-1", "entry-1-0", "entry-1-1"];
     balancers.iter().for_each(|label| t.kill(label));
-    let client = store(&t).await;
+    let client = store_client(&t).await;
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     assert_eq!(agents.len(), 2);
     for kv in &agents {
         client.delete(&kv.key).await.unwrap();
     }
     balancers.iter().try_for_each(|label| t.launch(label)).unwrap();
-    let since = Instant::now();
+    let start = Instant::now();
     while client.list("jujubepost/agents/").await.unwrap().1.len() < 2 {
-        assert!(since.elapsed() < Duration::from_secs(6));
+        assert!(start.elapsed() < Duration::from_secs(6));
         tokio::time::sleep(100 * MS).await;
     }
     tokio::time::sleep(1_000 * MS).await;
     let r = t.play(async |_: &mut Trial| Ok(())).await.unwrap();
-    promises(&r);
+    assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    end("taken", t).await;
+    stop_trial("taken", t).await;
 }
 
-/// Has the second target of the first service leave; its agent runs on.
-async fn drained(t: &Trial) {
+/// Drains target `meter-1` and waits until its process has ended; its agent runs on.
+async fn drain_target(t: &Trial) {
     t.drain("meter-1");
     let agent = t.inspect(false, 0, 1);
-    let since = Instant::now();
+    let start = Instant::now();
     loop {
-        let told = get(format!("http://{agent}/beliefs")).await;
-        let told: serde_json::Value = serde_json::from_str(&told).unwrap();
-        if told["target"]["alive"] == false {
+        let state = get(format!("http://{agent}/beliefs")).await;
+        let state: serde_json::Value = serde_json::from_str(&state).unwrap();
+        if state["target"]["alive"] == false {
             return;
         }
-        assert!(since.elapsed() < Duration::from_secs(15), "{told}");
+        assert!(start.elapsed() < Duration::from_secs(15), "{state}");
         tokio::time::sleep(100 * MS).await;
     }
 }
 
-/// An agent whose target has left removes its entry, also when the store is
-/// away at that moment: an entry left to its lease of minutes has every
-/// balancer that starts wait for an agent that is gone.
+/// Guards against a stopped agent that stays registered because the store was unreachable:
+/// balancers would wait for it until its lease expires.
 #[ntex::test]
-async fn entry_removed_late() {
+async fn registration_removed_after_outage() {
     let plan = Plan { base: 28_600, targets: 2, ..Plan::default() };
-    let mut t = start("removed", plan).await;
-    let client = store(&t).await;
-    drained(&t).await;
-    fault(&t, &Faults { outage: true, ..Faults::default() }).await;
-    let at = t.store();
-    let back = async {
+    let mut t = start_trial("removed", plan).await;
+    let client = store_client(&t).await;
+    drain_target(&t).await;
+    set_store_faults(&t, &Faults { outage: true, ..Faults::default() }).await;
+    let store_addr = t.store();
+    let end_outage = async {
         tokio::time::sleep(1_500 * MS).await;
-        fault_at(at, &Faults::default()).await;
+        set_faults_at(store_addr, &Faults::default()).await;
     };
-    futures_util::join!(t.stop("sidecar-0-1"), back);
+    futures_util::join!(t.stop("sidecar-0-1"), end_outage);
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     let left: Vec<_> = agents.iter().map(|kv| &*kv.key).collect();
     assert_eq!(left.len(), 3, "{left:?}");
-    end("removed", t).await;
+    stop_trial("removed", t).await;
 }
 
-/// An agent that starts without a target, on a VM that was about to go when it lost
-/// power, lists itself nowhere: gone again without a word, it would hold up the
-/// searches of its service, and stay listed for minutes.
+/// Guards against an agent that registers without a running target: if it then
+/// disappeared, it would delay owner searches until its lease expires.
 #[ntex::test]
-async fn unlisted_without_target() {
+async fn not_registered_without_target() {
     let plan = Plan { base: 28_700, targets: 2, ..Plan::default() };
-    let mut t = start("unlisted", plan).await;
-    let client = store(&t).await;
-    drained(&t).await;
+    let mut t = start_trial("unlisted", plan).await;
+    let client = store_client(&t).await;
+    drain_target(&t).await;
     t.kill("sidecar-0-1");
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     for kv in &agents {
         client.delete(&kv.key).await.unwrap();
     }
     t.launch("sidecar-0-1").unwrap();
-    let since = Instant::now();
+    let start = Instant::now();
     let mut listed = Vec::new();
-    while since.elapsed() < 5_000 * MS {
+    while start.elapsed() < 5_000 * MS {
         tokio::time::sleep(200 * MS).await;
         let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
         listed = agents.iter().map(|kv| kv.key.to_string()).collect();
         assert!(listed.len() <= 3, "{listed:?}");
     }
-    assert_eq!(listed.len(), 3, "the others list themselves again: {listed:?}");
-    end("unlisted", t).await;
+    assert_eq!(listed.len(), 3, "the others register again: {listed:?}");
+    stop_trial("unlisted", t).await;
 }
 
-/// A store that takes connections and answers nothing must not keep a process
-/// from finding it again once it answers.
+/// Guards against a client that does not recover from a store that accepts connections
+/// without responding.
 #[ntex::test]
-async fn silent_store_found_again() {
+async fn client_recovers_from_silent_store() {
     let addr = "127.0.0.1:26390".parse().unwrap();
-    let deaf = std::net::TcpListener::bind(addr).unwrap();
+    let silent_listener = std::net::TcpListener::bind(addr).unwrap();
     let client = kv::Client::new(addr, 300 * MS, 300 * MS).await.unwrap();
-    let since = Instant::now();
+    let start = Instant::now();
     assert!(client.get("x").await.is_err());
-    assert!(since.elapsed() < 1_000 * MS, "{:?}", since.elapsed());
-    drop(deaf);
+    assert!(start.elapsed() < 1_000 * MS, "{:?}", start.elapsed());
+    drop(silent_listener);
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"));
-    let path = dir("silent");
+    let path = test_dir("silent");
     std::fs::create_dir_all(&path).unwrap();
     let config = path.join("store.jsonc");
     std::fs::write(&config, r#"{"store": {"addr": "127.0.0.1:26390"}}"#).unwrap();
     let mut children = jujubepost::up::Children::new(&exe);
     let text = config.display().to_string();
     children.spawn("store", &["store", "--config", &text], &path.join("log")).unwrap();
-    let since = Instant::now();
+    let start = Instant::now();
     while client.get("x").await.is_err() {
-        assert!(since.elapsed() < Duration::from_secs(5));
+        assert!(start.elapsed() < Duration::from_secs(5));
         tokio::time::sleep(20 * MS).await;
     }
     let lease = client.grant(1_000 * MS).await.unwrap();
@@ -338,11 +344,11 @@
     assert!(client.keepalive(lease).await.unwrap());
     assert!(!client.keepalive(lease + 1).await.unwrap());
     tokio::time::sleep(1_500 * MS).await;
-    assert!(client.get("x").await.unwrap().is_none(), "its lease lapsed");
-    // Many calls one after the other on the client's connections.
+    assert!(client.get("x").await.unwrap().is_none(), "its lease expired");
+    // Consecutive calls reuse the client's connections.
     for i in 0..200 {
         client.put("y", b"1", 0).await.unwrap_or_else(|e| panic!("put {i}: {e:#}"));
-        client.exists("y").await.unwrap_or_else(|e| panic!("has {i}: {e:#}"));
+        client.exists("y").await.unwrap_or_else(|e| panic!("exists {i}: {e:#}"));
         client.keepalive(lease).await.unwrap_or_else(|e| panic!("keepalive {i}: {e:#}"));
     }
     children.down().await;
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -64,7 +64,7 @@
 
 #[ntex::test]
 async fn limit_reaches_agents() {
-    let site = common::start("limit", 25500, 2, 1, 0).await;
+    let site = common::start_site("limit", 25500, 2, 1, 0).await;
     let s = site.settings.clone();
     assert_eq!(answered(&s, 2).await, (10, 0));
     limit(&s, 2).await;
@@ -74,7 +74,7 @@
 
 #[ntex::test]
 async fn joins_in_outage() {
-    let mut site = common::start("joins", 26000, 2, 1, 0).await;
+    let mut site = common::start_site("joins", 26000, 2, 1, 0).await;
     let s = site.settings.clone();
     limit(&s, 2).await;
     fleet::in_force(&s, BOUND).await.unwrap();
--- a/tests/foreign.rs
+++ b/tests/invalid_input.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::edge::{AGENT_PREFIX, SnapshotReader};
 use jujubepost::platform::instances::{self, InstanceCall};
 use jujubepost::platform::{config, packet};
@@ -74,7 +74,7 @@
 }
 
 fn registration(n: u8) -> Kv {
-    let value = serde_json::to_vec(&announced(n)).unwrap();
+    let value = serde_json::to_vec(&listed_agent(n)).unwrap();
     Kv {
         key: format!("{AGENT_PREFIX}{}", agent(n).ip()).into(),
         value,
@@ -119,7 +119,7 @@
         prop::collection::vec(any::<u8>(), 0..64),
         any_json().prop_map(|v| serde_json::to_vec(&v).unwrap()),
     ], name in "[a-z0-9./]{0,16}") {
-        let mut s = steer(0, Instant::now());
+        let mut s = steering(0, Instant::now());
         let mut reader = SnapshotReader::default();
         let foreign = Kv { key: format!("{AGENT_PREFIX}{name}").into(), value: value.clone(), rev: 9, lease: 0 };
         let bad: Kv = Kv { key: Arc::from(relay::INDEX_KEY), value, rev: 10, lease: 0 };
@@ -131,7 +131,7 @@
     /// An invalid configuration leaves the last one in force.
     #[test]
     fn invalid_config_ignored(value in prop::collection::vec(any::<u8>(), 0..64)) {
-        let mut s = steer(1, Instant::now());
+        let mut s = steering(1, Instant::now());
         let mut reader = SnapshotReader::default();
         let kv = Kv { key: config::CONFIG_KEY.into(), value, rev: 3, lease: 0 };
         reader.apply_snapshot(&mut s, &snapshot([kv, registration(1)]));
@@ -152,7 +152,7 @@
 /// A registration must name the VM of its key.
 #[test]
 fn registration_of_other_vm_ignored() {
-    let mut s = steer(0, Instant::now());
+    let mut s = steering(0, Instant::now());
     let mut mismatched = registration(1);
     mismatched.value = registration(2).value;
     SnapshotReader::default().apply_snapshot(&mut s, &snapshot([mismatched, registration(3)]));
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -12,7 +12,7 @@
 
 #[ntex::test]
 async fn frozen_agent_returns() {
-    let site = common::start("lapse", 22200, 2, 3, 0).await;
+    let site = common::start_site("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
--- a/tests/lossy.rs
+++ b/tests/lossy.rs
@@ -10,7 +10,7 @@
 use jujubepost::bench::{self, Load};
 
 async fn disturbed(name: &str, base: u16, faults: Faults) {
-    let site = common::start(name, base, 3, 3, 2).await;
+    let site = common::start_site(name, base, 3, 3, 2).await;
     let s = site.settings.clone();
     let fabric = Peer::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
     fabric.disturb(faults).await.unwrap();
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -210,7 +210,7 @@
         Action::Resume("meter-2".into()).take(&s).await.unwrap();
         fleet::in_force(&s, IN_FORCE).await.unwrap();
     }
-    let broken = common::violations(site).await;
+    let broken = common::violation_count(site).await;
     let cells = judge(case, &rows, broken, leaves, raced, in_force.map(drop));
     let logs = site.path.parent().unwrap().to_path_buf();
     Line { case: case.name, when, cells, logs }
@@ -261,7 +261,7 @@
         for when in [When::Opening, When::Established, When::Change] {
             step += 1;
             let name = format!("matrix{worker}-{step}");
-            let mut site = common::start(&name, 29_500 + 500 * worker, 3, 3, 2).await;
+            let mut site = common::start_site(&name, 29_500 + 500 * worker, 3, 3, 2).await;
             let line = strike(&case, when, &mut site).await;
             let killed = site.down().await;
             if !killed.is_empty() {
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn one_of_two_wins() {
-    let site = common::start("race", 21600, 0, 0, 0).await;
+    let site = common::start_site("race", 21600, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
@@ -29,7 +29,7 @@
 
 #[ntex::test]
 async fn lost_answer_confirmed() {
-    let site = common::start("lost", 21700, 0, 0, 0).await;
+    let site = common::start_site("lost", 21700, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
--- a/tests/search.rs
+++ b/tests/owner_search.rs
@@ -6,37 +6,37 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::policy::BalancerPolicy;
 use jujubepost::protocol::{Answer, FlowStatus, ForwardMode, MAX_QUESTIONS};
 use jujubepost::steering::FlowSteering;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn packet(s: &mut FlowSteering, port: u16, now: Instant) -> Wires {
-    let mut w = Wires::default();
-    s.handle_packet(&data(port, 1_001, 77, 10), b"packet", now, &mut w);
-    w
+fn receive_packet(s: &mut FlowSteering, port: u16, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
+    s.handle_packet(&caller_data(port, 1_001, 77, 10), b"packet", now, &mut out);
+    out
 }
 
-fn tick(s: &mut FlowSteering, now: Instant) -> Wires {
-    let mut w = Wires::default();
-    s.tick(now, &mut w);
-    w
+fn tick(s: &mut FlowSteering, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
+    s.tick(now, &mut out);
+    out
 }
 
-fn answer(
+fn receive_answer(
     s: &mut FlowSteering,
     from: SocketAddrV4,
     port: u16,
     status: FlowStatus,
     hint: Option<SocketAddrV4>,
     now: Instant,
-) -> Wires {
-    let mut w = Wires::default();
-    s.handle_answers(from, &[Answer { flow: flow(port), status, hint }], 0, now, &mut w);
-    s.tick(now, &mut w);
-    w
+) -> Recorder {
+    let mut out = Recorder::default();
+    s.handle_answers(from, &[Answer { flow: flow(port), status, hint }], 0, now, &mut out);
+    s.tick(now, &mut out);
+    out
 }
 
 /// Finding the owner of a flow takes one or two queries and their answers, whether the
@@ -45,29 +45,30 @@
 fn lookup_cost_independent_of_service_size() {
     let now = Instant::now();
     for agents in [10, 200] {
-        let mut before = steer(agents, now);
-        let mut after = steer(agents, now);
+        let mut before = steering(agents, now);
+        let mut after = steering(agents, now);
         let mut messages = Vec::new();
         for port in 1..=500 {
-            let mut w = Wires::default();
-            before.handle_packet(&syn(port), b"syn", now, &mut w);
-            let Some((_, Sent::Open { offer, .. }, _)) = w.peers.first().cloned() else {
-                panic!("{w:?}");
+            let mut out = Recorder::default();
+            before.handle_packet(&syn(port), b"syn", now, &mut out);
+            let Some((_, SentMessage::Open { offer, .. }, _)) = out.messages.first().cloned()
+            else {
+                panic!("{out:?}");
             };
             // The first agent passes every second open on to the second.
             let passed = port % 2 == 0;
             let owner = if passed { offer.second.unwrap() } else { offer.first };
             let hint = passed.then_some(owner);
-            packet(&mut after, port, now);
-            let mut asked = tick(&mut after, now).asked();
+            receive_packet(&mut after, port, now);
+            let mut asked = tick(&mut after, now).queried();
             let mut count = 0;
             while let Some(agent) = asked.pop() {
                 count += 2;
                 let status = if agent == owner { FlowStatus::Held } else { FlowStatus::Unknown };
-                let w = answer(&mut after, agent, port, status, hint, now);
-                asked.extend(w.asked());
+                let out = receive_answer(&mut after, agent, port, status, hint, now);
+                asked.extend(out.queried());
                 if status == FlowStatus::Held {
-                    assert_eq!(w.carried(ForwardMode::Owner), [owner]);
+                    assert_eq!(out.forwarded(ForwardMode::Owner), [owner]);
                     break;
                 }
             }
@@ -84,15 +85,15 @@
 fn buffered_packets_bounded() {
     let now = Instant::now();
     let policy = BalancerPolicy { buffer_packets: 3, ..BalancerPolicy::default() };
-    let mut s = steer_with(4, policy, now);
+    let mut s = steering_with_policy(4, policy, now);
     for _ in 0..5 {
-        packet(&mut s, 1, now);
+        receive_packet(&mut s, 1, now);
     }
-    let w = tick(&mut s, now);
-    assert_eq!(w.asked().len(), 1);
-    assert!(w.peers.iter().all(|(_, _, data)| data.is_empty()));
-    let w = answer(&mut s, w.asked()[0], 1, FlowStatus::Held, None, now);
-    assert_eq!(w.carried(ForwardMode::Owner).len(), 3);
+    let out = tick(&mut s, now);
+    assert_eq!(out.queried().len(), 1);
+    assert!(out.messages.iter().all(|(_, _, data)| data.is_empty()));
+    let out = receive_answer(&mut s, out.queried()[0], 1, FlowStatus::Held, None, now);
+    assert_eq!(out.forwarded(ForwardMode::Owner).len(), 3);
 }
 
 /// The buffers of all flows together are bounded, and are freed once owners are found.
@@ -100,13 +101,15 @@
 fn buffered_bytes_bounded() {
     let now = Instant::now();
     let policy = BalancerPolicy { buffer_bytes: 30, ..BalancerPolicy::default() };
-    let mut s = steer_with(1, policy, now);
+    let mut s = steering_with_policy(1, policy, now);
     let found = |s: &mut FlowSteering, port: u16| {
         for _ in 0..9 {
-            packet(s, port, now);
+            receive_packet(s, port, now);
         }
         tick(s, now);
-        answer(s, agent(1), port, FlowStatus::Held, None, now).carried(ForwardMode::Owner).len()
+        receive_answer(s, agent(1), port, FlowStatus::Held, None, now)
+            .forwarded(ForwardMode::Owner)
+            .len()
     };
     // Each packet has six bytes.
     assert_eq!(found(&mut s, 1), 5);
@@ -120,20 +123,20 @@
     let now = Instant::now();
     let policy =
         BalancerPolicy { query_rate: 100.0, query_burst: 10.0, ..BalancerPolicy::default() };
-    let mut s = steer_with(20, policy, now);
+    let mut s = steering_with_policy(20, policy, now);
     for port in 1..=2_000 {
-        packet(&mut s, port, now);
+        receive_packet(&mut s, port, now);
     }
-    let w = tick(&mut s, now);
-    assert_eq!(w.asked().len(), 10);
-    let sizes = w.peers.iter().map(|(_, m, _)| match m {
-        Sent::Ask { flows } => flows.len(),
+    let out = tick(&mut s, now);
+    assert_eq!(out.queried().len(), 10);
+    let sizes = out.messages.iter().map(|(_, m, _)| match m {
+        SentMessage::Query { flows } => flows.len(),
         _ => 0,
     });
     assert!(sizes.clone().all(|n| n <= MAX_QUESTIONS) && sizes.sum::<usize>() > 300);
     assert!(s.next_deadline(now).unwrap() <= now + 10 * MS);
-    assert!(tick(&mut s, now + MS).asked().is_empty());
-    assert_eq!(tick(&mut s, now + 100 * MS).asked().len(), 10);
+    assert!(tick(&mut s, now + MS).queried().is_empty());
+    assert_eq!(tick(&mut s, now + 100 * MS).queried().len(), 10);
 }
 
 /// Guards against suspecting an agent whose query the rate limit held back.
@@ -141,11 +144,11 @@
 fn rate_limited_query_is_no_timeout() {
     let now = Instant::now();
     let policy = BalancerPolicy { query_rate: 1.0, query_burst: 1.0, ..BalancerPolicy::default() };
-    let mut s = steer_with(4, policy, now);
+    let mut s = steering_with_policy(4, policy, now);
     for port in 1..=40 {
-        packet(&mut s, port, now);
+        receive_packet(&mut s, port, now);
     }
-    let asked: HashMap<_, _> = tick(&mut s, now).asked().into_iter().map(|a| (a, ())).collect();
+    let asked: HashMap<_, _> = tick(&mut s, now).queried().into_iter().map(|a| (a, ())).collect();
     tick(&mut s, now + 60 * MS);
     for n in 1..=4 {
         let silent = !s.roster.is_responsive(agent(n));
@@ -158,38 +161,38 @@
 #[test]
 fn packet_overtakes_open_notification() {
     let now = Instant::now();
-    let mut s = steer(30, now);
-    let mut w = Wires::default();
-    s.handle_packet(&syn(1), b"syn", now, &mut w);
-    let first = w.opens()[0];
-    packet(&mut s, 1, now);
-    assert_eq!(tick(&mut s, now).asked(), [first]);
+    let mut s = steering(30, now);
+    let mut out = Recorder::default();
+    s.handle_packet(&syn(1), b"syn", now, &mut out);
+    let first = out.offered()[0];
+    receive_packet(&mut s, 1, now);
+    assert_eq!(tick(&mut s, now).queried(), [first]);
 }
 
 /// The home agent of a flow that another agent took can name the owner afterwards.
 #[test]
 fn home_agent_told_of_owner() {
     let now = Instant::now();
-    let mut s = steer(4, now);
-    let mut w = Wires::default();
-    s.handle_packet(&syn(1), b"syn", now, &mut w);
-    let home = w.opens()[0];
-    let Sent::Open { offer, .. } = w.peers[0].1.clone() else { panic!("{w:?}") };
+    let mut s = steering(4, now);
+    let mut out = Recorder::default();
+    s.handle_packet(&syn(1), b"syn", now, &mut out);
+    let home = out.offered()[0];
+    let SentMessage::Open { offer, .. } = out.messages[0].1.clone() else { panic!("{out:?}") };
     // The home agent does not answer; the next two are offered the open.
-    let w = tick(&mut s, now + 41 * MS);
-    let taker = w.opens()[0];
+    let out = tick(&mut s, now + 41 * MS);
+    let taker = out.offered()[0];
     s.roster.handle_pong(home, SERVICE, 0, now + 42 * MS);
-    let mut w = Wires::default();
+    let mut out = Recorder::default();
     let held =
         jujubepost::protocol::FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
-    s.handle_note(taker, held, now + 43 * MS, &mut w);
-    let hint = Sent::Hint { flow: flow(1), agent: taker };
-    assert_eq!(w.peers, [(home, hint, vec![])], "offered {offer:?}");
+    s.handle_note(taker, held, now + 43 * MS, &mut out);
+    let hint = SentMessage::Hint { flow: flow(1), agent: taker };
+    assert_eq!(out.messages, [(home, hint, vec![])], "offered {offer:?}");
 }
 
 /// Agent `n` answers that it may have forgotten flow 1.
-fn unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Wires {
-    answer(s, agent(n), 1, FlowStatus::Unverified, None, now)
+fn unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Recorder {
+    receive_answer(s, agent(n), 1, FlowStatus::Unverified, None, now)
 }
 
 /// Guards against searches stalling during a release: a silent agent that removed its
@@ -198,25 +201,26 @@
 fn departed_agent_does_not_delay_trials() {
     let now = Instant::now();
     for left in [true, false] {
-        let mut s = steer(6, now);
+        let mut s = steering(6, now);
         s.roster.record_timeout(agent(6), now + 50 * MS);
         if left {
-            let listed: Vec<_> = (1..=5).map(announced).collect();
+            let listed: Vec<_> = (1..=5).map(listed_agent).collect();
             s.roster.update(&listed, now + 60 * MS);
         }
         let at = now + 100 * MS;
-        packet(&mut s, 1, at);
+        receive_packet(&mut s, 1, at);
         tick(&mut s, at);
         let early: usize =
-            (1..=5).map(|n| unverified(&mut s, n, at).carried(ForwardMode::Try).len()).sum();
+            (1..=5).map(|n| unverified(&mut s, n, at).forwarded(ForwardMode::Try).len()).sum();
         assert_eq!(early, 0, "agent 6 may answer yet");
-        let tried = tick(&mut s, at + 41 * MS).carried(ForwardMode::Try);
+        let tried = tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try);
         assert_eq!(tried.len(), if left { 2 } else { 0 }, "left {left}");
         if left {
-            let foreign =
-                |s: &mut FlowSteering, a| answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS);
-            assert!(foreign(&mut s, tried[0]).carried(ForwardMode::Try).is_empty());
-            let rest = foreign(&mut s, tried[1]).carried(ForwardMode::Try);
+            let foreign = |s: &mut FlowSteering, a| {
+                receive_answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS)
+            };
+            assert!(foreign(&mut s, tried[0]).forwarded(ForwardMode::Try).is_empty());
+            let rest = foreign(&mut s, tried[1]).forwarded(ForwardMode::Try);
             assert_eq!(rest.len(), 3, "the flow's own is among them");
         }
     }
@@ -228,31 +232,32 @@
 fn named_owner_tried_at_once() {
     let now = Instant::now();
     for named_itself in [true, false] {
-        let mut s = steer(6, now);
+        let mut s = steering(6, now);
         s.roster.record_timeout(agent(6), now + 50 * MS);
         let at = now + 100 * MS;
-        packet(&mut s, 1, at);
-        let owner = tick(&mut s, at).asked()[0];
+        receive_packet(&mut s, 1, at);
+        let owner = tick(&mut s, at).queried()[0];
         let hint = named_itself.then_some(owner);
-        let mut tried =
-            answer(&mut s, owner, 1, FlowStatus::Unverified, hint, at).carried(ForwardMode::Try);
+        let mut tried = receive_answer(&mut s, owner, 1, FlowStatus::Unverified, hint, at)
+            .forwarded(ForwardMode::Try);
         if !named_itself {
             assert!(tried.is_empty());
             let next = (1..=5).map(agent).find(|a| *a != owner).unwrap();
-            let w = answer(&mut s, next, 1, FlowStatus::Unknown, Some(owner), at);
-            tried = w.carried(ForwardMode::Try);
+            let out = receive_answer(&mut s, next, 1, FlowStatus::Unknown, Some(owner), at);
+            tried = out.forwarded(ForwardMode::Try);
         }
         assert_eq!(tried, [owner]);
         let mut more = Vec::new();
         for a in (1..=5).map(agent).filter(|a| *a != owner) {
             more.extend(
-                answer(&mut s, a, 1, FlowStatus::Unverified, None, at).carried(ForwardMode::Try),
+                receive_answer(&mut s, a, 1, FlowStatus::Unverified, None, at)
+                    .forwarded(ForwardMode::Try),
             );
         }
-        more.extend(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try));
+        more.extend(tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try));
         assert!(more.is_empty(), "{more:?}");
-        let w = answer(&mut s, owner, 1, FlowStatus::Held, None, at + 42 * MS);
-        assert!(w.carried(ForwardMode::Try).is_empty());
+        let out = receive_answer(&mut s, owner, 1, FlowStatus::Held, None, at + 42 * MS);
+        assert!(out.forwarded(ForwardMode::Try).is_empty());
     }
 }
 
@@ -260,16 +265,16 @@
 #[test]
 fn unreachable_store_proves_no_departure() {
     let now = Instant::now();
-    let mut s = steer(6, now);
+    let mut s = steering(6, now);
     s.roster.record_timeout(agent(6), now + 50 * MS);
-    let listed: Vec<_> = (1..=5).map(announced).collect();
+    let listed: Vec<_> = (1..=5).map(listed_agent).collect();
     s.roster.update(&listed, now + 60 * MS);
     s.set_store_reachable(false, now + 70 * MS);
     let at = now + 100 * MS;
-    packet(&mut s, 1, at);
+    receive_packet(&mut s, 1, at);
     tick(&mut s, at);
-    (1..=5).for_each(|n| assert!(unverified(&mut s, n, at).carried(ForwardMode::Try).is_empty()));
-    assert!(tick(&mut s, at + 41 * MS).carried(ForwardMode::Try).is_empty());
+    (1..=5).for_each(|n| assert!(unverified(&mut s, n, at).forwarded(ForwardMode::Try).is_empty()));
+    assert!(tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try).is_empty());
 }
 
 /// Guards against lost flows not being reset during a release: a silent agent that
@@ -277,25 +282,26 @@
 #[test]
 fn ended_target_does_not_delay_reset() {
     let now = Instant::now();
-    let other =
-        |n, status, s: &mut FlowSteering, port, at| answer(s, agent(n), port, status, None, at);
+    let other = |n, status, s: &mut FlowSteering, port, at| {
+        receive_answer(s, agent(n), port, status, None, at)
+    };
     for (said, reborn, resets) in [
         (FlowStatus::TargetEnded, false, 1),
         (FlowStatus::Unknown, false, 0),
         (FlowStatus::TargetEnded, true, 0),
     ] {
-        let mut s = steer(6, now);
-        packet(&mut s, 1, now);
+        let mut s = steering(6, now);
+        receive_packet(&mut s, 1, now);
         tick(&mut s, now);
         other(6, said, &mut s, 1, now);
         if reborn {
             let next = |a| jujubepost::steering::ListedAgent { target: Some("i-2".into()), ..a };
-            let listed: Vec<_> = (1..=6).map(announced).map(next).collect();
+            let listed: Vec<_> = (1..=6).map(listed_agent).map(next).collect();
             s.roster.update(&listed, now);
         }
         s.roster.record_timeout(agent(6), now + 50 * MS);
         let at = now + 100 * MS;
-        packet(&mut s, 2, at);
+        receive_packet(&mut s, 2, at);
         tick(&mut s, at);
         let told =
             (1..=5).flat_map(|n| other(n, FlowStatus::Unknown, &mut s, 2, at).resets).count();
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -7,7 +7,7 @@
 
 #[ntex::test]
 async fn serves_both_services() {
-    let site = common::start("path", 21000, 3, 3, 2).await;
+    let site = common::start_site("path", 21000, 3, 3, 2).await;
     let args = Load { feeds: 4, requests: 40, secs: 2, ..Load::default() };
     let rows = bench::measure(&site.settings, &args).await;
     assert_eq!(rows.len(), 2);
--- a/tests/frozen.rs
+++ b/tests/process_suspension.rs
@@ -189,8 +189,9 @@
 /// Guards against a call whose timeout is prolonged by a suspension.
 #[ntex::test]
 async fn call_after_freeze() {
-    let client =
-        kv::Client::new(common::falls_silent(NOT_FOUND), 1_000 * MS, 1_000 * MS).await.unwrap();
+    let client = kv::Client::new(common::serve_one_response(NOT_FOUND), 1_000 * MS, 1_000 * MS)
+        .await
+        .unwrap();
     assert!(client.get("key").await.unwrap().is_none());
     let suspension = Suspension::new();
     let resumed = suspension.resumed().await;
--- a/tests/bus_numbers.rs
+++ b/tests/protocol_numbers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::metrics::Refusal;
 use jujubepost::protocol::{FlowStatus, FlowUpdate, Message, encode};
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -80,7 +80,7 @@
     let length = Duration::from_secs(setting("JUJUBEPOST_SOAK_S", LENGTH_S));
     println!("soak seed {seed}");
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut site = common::start("soak", 25_000, 3, 4, 2).await;
+    let mut site = common::start_site("soak", 25_000, 3, 4, 2).await;
     let s = site.settings.clone();
     let start = Instant::now();
     let mut round = 0;
@@ -118,7 +118,7 @@
         }
         let in_force = fleet::in_force(&s, IN_FORCE).await;
         assert!(in_force.is_ok(), "{at}: {in_force:?}");
-        assert_eq!(common::violations(&site).await, 0, "{at}");
+        assert_eq!(common::violation_count(&site).await, 0, "{at}");
         println!("{at}: passed");
     }
     println!("soak seed {seed}: {round} rounds passed in {:?}", start.elapsed());
--- a/tests/stalled_answer.rs
+++ b/tests/stalled_response.rs
@@ -16,7 +16,7 @@
 /// includes reading the body.
 #[ntex::test]
 async fn unfinished_response_times_out() {
-    let client = Client::new(common::falls_silent(HEAD), TIMEOUT).await;
+    let client = Client::new(common::serve_one_response(HEAD), TIMEOUT).await;
     let started = Instant::now();
     let listed = tokio::time::timeout(4 * TIMEOUT, client.list("/")).await;
     assert!(listed.expect("the call hangs").is_err());
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn requests_served_during_outage() {
-    let site = common::start("outage", 22500, 2, 3, 2).await;
+    let site = common::start_site("outage", 22500, 2, 3, 2).await;
     let s = site.settings.clone();
     ctl::fault(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
     // Longer than the lease of 1 s in the test site.
--- a/tests/suspicion.rs
+++ b/tests/suspected_agents.rs
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::policy::BalancerPolicy;
 use jujubepost::steering::{FlowSteering, ListedAgent};
 
@@ -17,15 +17,19 @@
     let one = |n: u16| {
         let [high, low] = n.to_be_bytes();
         let addr = SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 7_720);
-        ListedAgent { addr, service: format!("s{}", n / 10).into(), ..announced(1) }
+        ListedAgent { addr, service: format!("s{}", n / 10).into(), ..listed_agent(1) }
     };
     (0..agents).map(one).collect()
 }
 
 fn pinged(s: &mut FlowSteering, now: Instant) -> Vec<SocketAddrV4> {
-    let mut w = Wires::default();
-    s.tick(now, &mut w);
-    w.peers.into_iter().filter(|(_, m, _)| matches!(m, Sent::Ping { .. })).map(|p| p.0).collect()
+    let mut out = Recorder::default();
+    s.tick(now, &mut out);
+    out.messages
+        .into_iter()
+        .filter(|(_, m, _)| matches!(m, SentMessage::Ping { .. }))
+        .map(|p| p.0)
+        .collect()
 }
 
 /// Guards against a flood of pings when all leases lapse at once: the rate is bounded,
@@ -35,7 +39,7 @@
     let now = Instant::now();
     let policy = BalancerPolicy::default().scaled_to_vm(1_000.0, 0.25);
     let rate = f64::from(policy.suspicion.ping_rate);
-    let mut s = steer_with(0, policy, now);
+    let mut s = steering_with_policy(0, policy, now);
     let all = fleet(2_300);
     s.roster.update(&all, now);
     s.roster.update(&[], now);
@@ -63,7 +67,7 @@
 #[test]
 fn unlisted_agent_removed_only_after_ping() {
     let now = Instant::now();
-    let mut s = steer_with(0, BalancerPolicy::default().scaled_to_vm(4.0, 0.12), now);
+    let mut s = steering_with_policy(0, BalancerPolicy::default().scaled_to_vm(4.0, 0.12), now);
     let all = fleet(2_000);
     s.roster.update(&all, now);
     s.roster.update(&[], now);
--- a/tests/hold.rs
+++ b/tests/tracker.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::wires::*;
+use common::fixtures::*;
 use jujubepost::agent::placement::UNAVAILABLE_LOAD;
 use jujubepost::metrics::Refusal;
 use jujubepost::protocol::{FlowStatus, ForwardMode, Message, Query, Question};
@@ -19,34 +19,34 @@
     port: u16,
     ack: u32,
     now: Instant,
-) -> Wires {
-    let mut w = Wires::default();
+) -> Recorder {
+    let mut out = Recorder::default();
     let m = Message::Forward { service: SERVICE, mode };
     tracker.handle_message(
         balancer(),
         &m,
-        Some(&data(port, 1_001, ack, 100)),
+        Some(&caller_data(port, 1_001, ack, 100)),
         b"data",
         now,
-        &mut w,
+        &mut out,
     );
-    w
+    out
 }
 
 /// Queries flow `port`, whose caller acknowledged `ack`.
-fn query(tracker: &mut FlowTracker, port: u16, ack: u32, now: Instant) -> Wires {
-    let mut w = Wires::default();
+fn query(tracker: &mut FlowTracker, port: u16, ack: u32, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
     let question = Question { flow: flow(port), ack: Some(ack) };
     let m = Message::Query(Query { service: SERVICE, questions: vec![question] });
-    tracker.handle_message(balancer(), &m, None, &[], now, &mut w);
-    w
+    tracker.handle_message(balancer(), &m, None, &[], now, &mut out);
+    out
 }
 
-fn offer(tracker: &mut FlowTracker, port: u16, aged: bool, now: Instant) -> Wires {
-    let mut w = Wires::default();
+fn offer(tracker: &mut FlowTracker, port: u16, aged: bool, now: Instant) -> Recorder {
+    let mut out = Recorder::default();
     let m = Message::Open(open(agent(1), aged));
-    tracker.handle_message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut w);
-    w
+    tracker.handle_message(balancer(), &m, Some(&syn(port)), b"syn", now, &mut out);
+    out
 }
 
 /// A report of target `i-1`, started at `ms`.
@@ -60,29 +60,29 @@
 #[test]
 fn open_is_forwarded_and_tracked() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    let w = opened(&mut tracker, 1, 5_000, now);
-    assert_eq!(w.target, [b"syn".to_vec(), b"ack".to_vec()]);
-    assert_eq!(w.callers, [b"syn-ack".to_vec()]);
-    assert_eq!(w.statuses(), [FlowStatus::Held]);
+    let mut tracker = ready_tracker(now);
+    let out = open_flow(&mut tracker, 1, 5_000, now);
+    assert_eq!(out.to_target, [b"syn".to_vec(), b"ack".to_vec()]);
+    assert_eq!(out.to_callers, [b"syn-ack".to_vec()]);
+    assert_eq!(out.statuses(), [FlowStatus::Held]);
     assert_eq!(query(&mut tracker, 1, 5_001, now).statuses(), [FlowStatus::Held]);
 }
 
 #[test]
 fn other_service_is_refused() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    let mut w = Wires::default();
+    let mut tracker = ready_tracker(now);
+    let mut out = Recorder::default();
     let m =
         Message::Open(jujubepost::protocol::Open { service: "fieldlog", ..open(agent(1), false) });
-    tracker.handle_message(balancer(), &m, Some(&syn(1)), b"syn", now, &mut w);
-    assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
+    tracker.handle_message(balancer(), &m, Some(&syn(1)), b"syn", now, &mut out);
+    assert_eq!(out.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
     let m = Message::Forward { service: "fieldlog", mode: ForwardMode::Try };
-    tracker.handle_message(balancer(), &m, Some(&data(1, 1, 1, 1)), b"data", now, &mut w);
+    tracker.handle_message(balancer(), &m, Some(&caller_data(1, 1, 1, 1)), b"data", now, &mut out);
     let m = Message::Query(Query { service: "fieldlog", questions: Vec::new() });
-    tracker.handle_message(balancer(), &m, None, &[], now, &mut w);
-    assert!(w.answers().is_empty(), "a query for another service gets no response");
-    assert!(w.target.is_empty(), "packets of another service do not reach the target");
+    tracker.handle_message(balancer(), &m, None, &[], now, &mut out);
+    assert!(out.answers().is_empty(), "a query for another service gets no response");
+    assert!(out.to_target.is_empty(), "packets of another service do not reach the target");
 }
 
 #[test]
@@ -94,21 +94,21 @@
         [FlowStatus::Refused(Refusal::NoTarget)]
     );
     // Packets of flows opened before the agent started are delivered.
-    assert_eq!(forward(&mut tracker, ForwardMode::Owner, 2, 9, now).target.len(), 1);
+    assert_eq!(forward(&mut tracker, ForwardMode::Owner, 2, 9, now).to_target.len(), 1);
 }
 
 #[test]
 fn draining_target_refuses_opens() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     assert!(tracker.handle_report(report("i-1", 2, TargetState::Draining), now));
     assert_eq!(
         offer(&mut tracker, 2, false, now).statuses(),
         [FlowStatus::Refused(Refusal::Draining)]
     );
     assert_eq!(
-        forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now).target.len(),
+        forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now).to_target.len(),
         1,
         "open flows continue"
     );
@@ -123,7 +123,7 @@
 #[test]
 fn report_of_earlier_incarnation_ignored() {
     let now = Instant::now();
-    let mut tracker = holder(now);
+    let mut tracker = ready_tracker(now);
     assert!(tracker.handle_report(report("i-2", 1, TargetState::Ready), now));
     assert!(
         !tracker.handle_report(report("i-1", 99, TargetState::Draining), now),
@@ -178,7 +178,7 @@
     );
     let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     assert!(tracker.handle_report(report_started_at(9_000, 4, TargetState::Ready), now));
-    tracker.mark_target_ended(&mut Wires::default());
+    tracker.mark_target_ended(&mut Recorder::default());
     assert!(tracker.handle_report(report_started_at(7_000, 1, TargetState::Ready), now + MS));
 }
 
@@ -189,8 +189,8 @@
     let now = Instant::now();
     let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     tracker.handle_report(report_started_at(2_000, 1, TargetState::Ready), now);
-    opened(&mut tracker, 1, 5_000, now);
-    let mut w = Wires::default();
+    open_flow(&mut tracker, 1, 5_000, now);
+    let mut out = Recorder::default();
     assert!(
         !tracker.handle_shutdown_notice(
             &Incarnation { id: "i-1".into(), started_ms: Some(1_000) },
@@ -199,16 +199,19 @@
     );
     assert!(!tracker.should_probe(now + 5_000 * MS));
     assert!(!tracker.handle_shutdown_notice(&"i-1".into(), now));
-    tracker.tick(now + 600 * MS, &mut w);
-    assert!(w.resets.is_empty() && tracker.should_probe(now + 600 * MS));
+    tracker.tick(now + 600 * MS, &mut out);
+    assert!(out.resets.is_empty() && tracker.should_probe(now + 600 * MS));
     tracker.defer_probe(now + 600 * MS);
-    assert_eq!(forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now + 700 * MS).target.len(), 1);
+    assert_eq!(
+        forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now + 700 * MS).to_target.len(),
+        1
+    );
     assert!(tracker.handle_shutdown_notice(
         &Incarnation { id: "i-1".into(), started_ms: Some(2_000) },
         now + 800 * MS
     ));
-    tracker.tick(now + 1_400 * MS, &mut w);
-    assert_eq!(w.resets.len(), 1, "its own shutdown notice ends it");
+    tracker.tick(now + 1_400 * MS, &mut out);
+    assert_eq!(out.resets.len(), 1, "its own shutdown notice ends it");
 }
 
 /// Flows that a new incarnation opened before its first report are not reset; those of
@@ -216,34 +219,34 @@
 #[test]
 fn new_incarnation_keeps_its_flows() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     // The target restarts, and its new incarnation opens flow 2.
-    opened(&mut tracker, 2, 7_000, now + 600 * MS);
+    open_flow(&mut tracker, 2, 7_000, now + 600 * MS);
     let later = now + 700 * MS;
     assert!(tracker.handle_report(report("i-2", 1, TargetState::Ready), later));
-    let w = forward(&mut tracker, ForwardMode::Owner, 2, 7_001, later);
-    assert_eq!((w.target.len(), w.resets.len()), (1, 0));
-    let mut w = forward(&mut tracker, ForwardMode::Owner, 1, 5_001, later);
-    assert_eq!((w.target.len(), w.resets.len()), (1, 0));
-    let back = bounced(data(1, 1_001, 5_001, 100));
-    tracker.handle_target_packet(&back, &mut b"data".to_vec(), later, &mut w, |_| {});
-    assert_eq!(w.resets, [(flow(1), 5_001)]);
+    let out = forward(&mut tracker, ForwardMode::Owner, 2, 7_001, later);
+    assert_eq!((out.to_target.len(), out.resets.len()), (1, 0));
+    let mut out = forward(&mut tracker, ForwardMode::Owner, 1, 5_001, later);
+    assert_eq!((out.to_target.len(), out.resets.len()), (1, 0));
+    let back = bounced(caller_data(1, 1_001, 5_001, 100));
+    tracker.handle_target_packet(&back, &mut b"data".to_vec(), later, &mut out, |_| {});
+    assert_eq!(out.resets, [(flow(1), 5_001)]);
 }
 
 #[test]
 fn crash_resets_flows() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     offer(&mut tracker, 2, false, now);
     assert!(!tracker.should_probe(now + 50 * MS));
     assert!(tracker.should_probe(now + 70 * MS), "unanswered open");
-    let mut w = Wires::default();
-    tracker.mark_target_ended(&mut w);
-    assert_eq!(w.resets, [(flow(1), 5_001)]);
-    let w = offer(&mut tracker, 3, false, now + 80 * MS);
-    assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::Draining)]);
+    let mut out = Recorder::default();
+    tracker.mark_target_ended(&mut out);
+    assert_eq!(out.resets, [(flow(1), 5_001)]);
+    let out = offer(&mut tracker, 3, false, now + 80 * MS);
+    assert_eq!(out.statuses(), [FlowStatus::Refused(Refusal::Draining)]);
     assert!(
         !tracker.handle_report(report("i-1", 9, TargetState::Ready), now),
         "delayed report of the incarnation that ended"
@@ -268,9 +271,9 @@
         let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         tracker.set_predecessor(served.map(Into::into), now);
         tracker.handle_report(report("i-1", seq, TargetState::Ready), now);
-        let w = query(&mut tracker, 1, 5_001, now);
-        assert_eq!(w.statuses(), [status], "seq {seq}, served {served:?}");
-        assert!(w.target.is_empty(), "a query sends nothing to the target");
+        let out = query(&mut tracker, 1, 5_001, now);
+        assert_eq!(out.statuses(), [status], "seq {seq}, served {served:?}");
+        assert!(out.to_target.is_empty(), "a query sends nothing to the target");
     }
 }
 
@@ -283,8 +286,8 @@
         let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         tracker.set_predecessor(Some("i-0".into()), now);
         tracker.handle_report(report("i-1", 2, TargetState::Ready), now + heard);
-        let w = query(&mut tracker, 1, 5_001, now + heard);
-        assert_eq!(w.statuses(), [status], "heard after {heard:?}");
+        let out = query(&mut tracker, 1, 5_001, now + heard);
+        assert_eq!(out.statuses(), [status], "heard after {heard:?}");
     }
 }
 
@@ -297,12 +300,12 @@
         let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         tracker.set_predecessor(Some("i-0".into()), now);
         let send = |tracker: &mut FlowTracker| {
-            let mut w = Wires::default();
+            let mut out = Recorder::default();
             tracker.handle_target_packet(
-                &answer(7, 5_001, 9),
+                &target_data(7, 5_001, 9),
                 &mut b"old".to_vec(),
                 now,
-                &mut w,
+                &mut out,
                 |_| {},
             );
         };
@@ -341,12 +344,12 @@
     }
     // Later reports do not restart the wait.
     tracker.handle_report(report("i-1", 2, TargetState::Ready), now + 450 * MS);
-    assert_eq!(offer(&mut tracker, 2, false, now + 510 * MS).target, [b"syn".to_vec()]);
+    assert_eq!(offer(&mut tracker, 2, false, now + 510 * MS).to_target, [b"syn".to_vec()]);
     // An agent that was listed before accepts flows at once.
     let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     tracker.set_predecessor(Some("i-0".into()), now);
     tracker.handle_report(report("i-1", 1, TargetState::Ready), now);
-    assert_eq!(offer(&mut tracker, 1, false, now).target, [b"syn".to_vec()]);
+    assert_eq!(offer(&mut tracker, 1, false, now).to_target, [b"syn".to_vec()]);
 }
 
 #[test]
@@ -354,48 +357,58 @@
     let now = Instant::now();
     let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     tracker.handle_report(report("i-1", 30, TargetState::Ready), now);
-    let mut w = forward(&mut tracker, ForwardMode::Try, 1, 5_001, now);
-    assert_eq!(w.target.len(), 1);
-    let back = bounced(data(1, 1_001, 5_001, 100));
-    tracker.handle_target_packet(&back, &mut b"data".to_vec(), now, &mut w, |_| {});
+    let mut out = forward(&mut tracker, ForwardMode::Try, 1, 5_001, now);
+    assert_eq!(out.to_target.len(), 1);
+    let back = bounced(caller_data(1, 1_001, 5_001, 100));
+    tracker.handle_target_packet(&back, &mut b"data".to_vec(), now, &mut out, |_| {});
     assert_eq!(
-        (w.statuses(), w.resets.len()),
+        (out.statuses(), out.resets.len()),
         (vec![FlowStatus::NotOwner], 0),
         "no reset for another target's flow"
     );
-    let w = query(&mut tracker, 1, 5_001, now);
-    assert_eq!((w.statuses(), w.target.len()), (vec![FlowStatus::NotOwner], 0), "tried once");
+    let out = query(&mut tracker, 1, 5_001, now);
+    assert_eq!(
+        (out.statuses(), out.to_target.len()),
+        (vec![FlowStatus::NotOwner], 0),
+        "tried once"
+    );
     // A flow that the target answers is its own.
     forward(&mut tracker, ForwardMode::Try, 2, 5_001, now);
-    let mut w = Wires::default();
+    let mut out = Recorder::default();
     tracker.handle_target_packet(
-        &answer(2, 5_001, 100),
+        &target_data(2, 5_001, 100),
         &mut b"answer".to_vec(),
         now,
-        &mut w,
+        &mut out,
         |_| {},
     );
-    assert_eq!((w.statuses(), w.callers.len()), (vec![FlowStatus::Held], 1));
+    assert_eq!((out.statuses(), out.to_callers.len()), (vec![FlowStatus::Held], 1));
 }
 
 #[test]
 fn flow_of_other_target_denied() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    let mut w = offer(&mut tracker, 1, false, now);
-    tracker.handle_target_packet(&syn_ack(1, 5_000), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
+    let mut tracker = ready_tracker(now);
+    let mut out = offer(&mut tracker, 1, false, now);
+    tracker.handle_target_packet(
+        &syn_ack(1, 5_000),
+        &mut b"syn-ack".to_vec(),
+        now,
+        &mut out,
+        |_| {},
+    );
     // The caller acknowledges another target's sequence number.
-    let w = query(&mut tracker, 1, 900_001, now);
-    assert_eq!((w.statuses(), w.target.len()), (vec![FlowStatus::Unknown], 0));
+    let out = query(&mut tracker, 1, 900_001, now);
+    assert_eq!((out.statuses(), out.to_target.len()), (vec![FlowStatus::Unknown], 0));
 }
 
 #[test]
 fn full_target_gets_no_opens() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    let mut w = offer(&mut tracker, 1, false, now);
-    tracker.handle_target_packet(&bounced(syn(1)), &mut b"syn".to_vec(), now, &mut w, |_| {});
-    assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::Full)]);
+    let mut tracker = ready_tracker(now);
+    let mut out = offer(&mut tracker, 1, false, now);
+    tracker.handle_target_packet(&bounced(syn(1)), &mut b"syn".to_vec(), now, &mut out, |_| {});
+    assert_eq!(out.statuses(), [FlowStatus::Refused(Refusal::Full)]);
     assert_eq!(offer(&mut tracker, 2, false, now).statuses(), [FlowStatus::Refused(Refusal::Full)]);
     assert!(offer(&mut tracker, 3, false, now + 300 * MS).statuses().is_empty());
 }
@@ -405,7 +418,7 @@
 #[test]
 fn queue_is_bounded() {
     let now = Instant::now();
-    let mut tracker = holder(now);
+    let mut tracker = ready_tracker(now);
     for port in 1..=5 {
         assert!(offer(&mut tracker, port, true, now).statuses().is_empty(), "slot {port} is free");
     }
@@ -424,40 +437,46 @@
 #[test]
 fn waiting_count_excludes_abandoned_work() {
     let mut now = Instant::now();
-    let mut tracker = holder(now);
-    let mut w = offer(&mut tracker, 1, false, now);
-    tracker.handle_target_packet(&syn_ack(1, 5_000), &mut b"syn-ack".to_vec(), now, &mut w, |_| {});
+    let mut tracker = ready_tracker(now);
+    let mut out = offer(&mut tracker, 1, false, now);
+    tracker.handle_target_packet(
+        &syn_ack(1, 5_000),
+        &mut b"syn-ack".to_vec(),
+        now,
+        &mut out,
+        |_| {},
+    );
     assert_eq!(tracker.waiting_count(), 1);
     now += 100 * MS;
-    tracker.tick(now, &mut w);
+    tracker.tick(now, &mut out);
     assert_eq!(tracker.waiting_count(), 0, "given up by its caller");
 
-    opened(&mut tracker, 2, 6_000, now);
+    open_flow(&mut tracker, 2, 6_000, now);
     forward(&mut tracker, ForwardMode::Owner, 2, 6_001, now);
     assert_eq!(tracker.waiting_count(), 1);
     tracker.handle_target_packet(
-        &answer(2, 6_001, 10),
+        &target_data(2, 6_001, 10),
         &mut b"answer".to_vec(),
         now,
-        &mut w,
+        &mut out,
         |_| {},
     );
     assert_eq!(tracker.waiting_count(), 0);
     forward(&mut tracker, ForwardMode::Owner, 2, 6_001, now);
     assert_eq!(tracker.waiting_count(), 0, "a copy of the request");
 
-    opened(&mut tracker, 3, 7_000, now);
+    open_flow(&mut tracker, 3, 7_000, now);
     forward(&mut tracker, ForwardMode::Owner, 3, 7_001, now);
     assert_eq!(tracker.waiting_count(), 1);
-    tracker.tick(now + 2_100 * MS, &mut w);
+    tracker.tick(now + 2_100 * MS, &mut out);
     assert_eq!(tracker.waiting_count(), 0, "the answer was not seen");
 }
 
 #[test]
 fn drained_once_target_has_answered() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now);
     tracker.stop_accepting();
     assert!(!tracker.is_drained(), "target has work");
@@ -465,30 +484,34 @@
         offer(&mut tracker, 2, false, now).statuses(),
         [FlowStatus::Refused(Refusal::Draining)]
     );
-    let mut w = Wires::default();
+    let mut out = Recorder::default();
     tracker.handle_target_packet(
-        &answer(1, 5_001, 10),
+        &target_data(1, 5_001, 10),
         &mut b"answer".to_vec(),
         now,
-        &mut w,
+        &mut out,
         |_| {},
     );
     assert!(tracker.is_drained());
-    tracker.handle_message(balancer(), &Message::Ping { listed: true }, None, &[], now, &mut w);
-    assert!(w.peers.contains(&(balancer(), Sent::Pong { load: UNAVAILABLE_LOAD }, vec![])));
+    tracker.handle_message(balancer(), &Message::Ping { listed: true }, None, &[], now, &mut out);
+    assert!(out.messages.contains(&(
+        balancer(),
+        SentMessage::Pong { load: UNAVAILABLE_LOAD },
+        vec![]
+    )));
 }
 
 #[test]
 fn shutdown_resets_flows_after_delay() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     assert!(tracker.handle_shutdown_notice(&"i-1".into(), now));
-    let mut w = Wires::default();
-    tracker.tick(now + 100 * MS, &mut w);
-    assert!(w.resets.is_empty(), "it may still send its last packets");
-    tracker.tick(now + 600 * MS, &mut w);
-    assert_eq!(w.resets, [(flow(1), 5_001)]);
+    let mut out = Recorder::default();
+    tracker.tick(now + 100 * MS, &mut out);
+    assert!(out.resets.is_empty(), "it may still send its last packets");
+    tracker.tick(now + 600 * MS, &mut out);
+    assert_eq!(out.resets, [(flow(1), 5_001)]);
 }
 
 /// An agent whose target's process has ended denies every flow; otherwise callers of lost
@@ -499,13 +522,13 @@
     let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
     assert_eq!(query(&mut tracker, 1, 5_001, now).statuses(), [FlowStatus::Unverified]);
     assert!(tracker.should_probe(now), "port probe due");
-    tracker.mark_target_ended(&mut Wires::default());
+    tracker.mark_target_ended(&mut Recorder::default());
     assert!(!tracker.should_probe(now));
     assert_eq!(query(&mut tracker, 1, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
     // An ended target whose flows were not all known.
     assert!(tracker.handle_report(report("i-1", 30, TargetState::Ready), now));
     assert_eq!(query(&mut tracker, 2, 5_001, now).statuses(), [FlowStatus::Unverified]);
-    tracker.mark_target_ended(&mut Wires::default());
+    tracker.mark_target_ended(&mut Recorder::default());
     assert_eq!(query(&mut tracker, 2, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
 }
 
@@ -513,22 +536,25 @@
 #[test]
 fn ping_reports_ended_target() {
     let now = Instant::now();
-    let mut tracker = holder(now);
+    let mut tracker = ready_tracker(now);
     let ping = |tracker: &mut FlowTracker| {
-        let mut w = Wires::default();
+        let mut out = Recorder::default();
         tracker.handle_message(
             balancer(),
             &Message::Ping { listed: false },
             None,
             &[],
             now,
-            &mut w,
+            &mut out,
         );
-        w.peers.into_iter().map(|(_, m, _)| m).collect::<Vec<_>>()
+        out.messages.into_iter().map(|(_, m, _)| m).collect::<Vec<_>>()
     };
-    assert!(!ping(&mut tracker).contains(&Sent::Ended));
-    tracker.mark_target_ended(&mut Wires::default());
-    assert_eq!(ping(&mut tracker), [Sent::Pong { load: UNAVAILABLE_LOAD }, Sent::Ended]);
+    assert!(!ping(&mut tracker).contains(&SentMessage::TargetEnded));
+    tracker.mark_target_ended(&mut Recorder::default());
+    assert_eq!(
+        ping(&mut tracker),
+        [SentMessage::Pong { load: UNAVAILABLE_LOAD }, SentMessage::TargetEnded]
+    );
 }
 
 /// If balancers were told that a target ended, its next incarnation accepts flows only
@@ -537,8 +563,8 @@
 fn restart_after_announced_end_waits() {
     let now = Instant::now();
     for told in [true, false] {
-        let mut tracker = holder(now);
-        tracker.mark_target_ended(&mut Wires::default());
+        let mut tracker = ready_tracker(now);
+        tracker.mark_target_ended(&mut Recorder::default());
         if told {
             assert_eq!(query(&mut tracker, 1, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
         }
@@ -555,29 +581,29 @@
 #[test]
 fn closed_flow_is_remembered() {
     let now = Instant::now();
-    let mut tracker = holder(now);
-    opened(&mut tracker, 1, 5_000, now);
+    let mut tracker = ready_tracker(now);
+    open_flow(&mut tracker, 1, 5_000, now);
     forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now);
-    let mut w = Wires::default();
+    let mut out = Recorder::default();
     let end = now + 1_900 * MS;
     let fin = |seg: jujubepost::flow::Segment| jujubepost::flow::Segment {
         flags: jujubepost::flow::Flags { fin: true, ..seg.flags },
         ..seg
     };
     tracker.handle_target_packet(
-        &fin(answer(1, 5_001, 10)),
+        &fin(target_data(1, 5_001, 10)),
         &mut b"answer".to_vec(),
         end,
-        &mut w,
+        &mut out,
         |_| {},
     );
     let m = Message::Forward { service: SERVICE, mode: ForwardMode::Owner };
-    let last = fin(data(1, 1_101, 5_012, 0));
-    tracker.handle_message(balancer(), &m, Some(&last), b"fin", end, &mut w);
+    let last = fin(caller_data(1, 1_101, 5_012, 0));
+    tracker.handle_message(balancer(), &m, Some(&last), b"fin", end, &mut out);
     for ms in [150, 1_000, 3_000] {
-        tracker.tick(end + ms * MS, &mut w);
+        tracker.tick(end + ms * MS, &mut out);
         assert_eq!(query(&mut tracker, 1, 5_012, end).statuses(), [FlowStatus::Held], "{ms} ms");
     }
-    tracker.tick(end + 3_300 * MS, &mut w);
+    tracker.tick(end + 3_300 * MS, &mut out);
     assert_eq!(query(&mut tracker, 1, 5_012, end).statuses(), [FlowStatus::Unknown]);
 }
