--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -1,15 +1,10 @@
-//! The fault matrix: every fault at every step, under load, with the brief's
-//! promises checked each time. Prints the table and, when
-//! `JUJUBEPOST_MATRIX` names a file, writes it there.
+//! Fault matrix: injects each fault at each step under load and checks the service's
+//! guarantees. The steps: as flows open, once they are established, and right after a
+//! change of the configuration (a drain and a new limit).
 //!
-//! The steps: the fault strikes as flows open, when they are established, or
-//! right after a change of the configuration (a drain and a new limit) was
-//! accepted. It ends while the load goes on.
-//!
-//! `JUJUBEPOST_MATRIX_ONLY` names cases (divided by `;`) and
-//! `JUJUBEPOST_MATRIX_TIMES` how often each is played, to trace one that fails
-//! now and then. The logs of a step that fails are kept in the folder that its
-//! message names.
+//! Prints the results as a table, and writes it to the file named by `JUJUBEPOST_MATRIX`.
+//! `JUJUBEPOST_MATRIX_ONLY` selects cases (separated by `;`), and
+//! `JUJUBEPOST_MATRIX_TIMES` repeats them. Logs of failed cases are kept.
 
 mod common;
 
@@ -33,62 +28,69 @@
 const REQUESTS: u32 = 70;
 const FEEDS: u32 = 6;
 
-/// When the fault strikes and when it ends, in milliseconds of the load.
-const STRIKE: u64 = 1_200;
-const END: u64 = 2_600;
+/// Start and end of the fault, in milliseconds from the start of the load.
+const FAULT_START_MS: u64 = 1_200;
+const FAULT_END_MS: u64 = 2_600;
 
-/// How soon an accepted configuration must be in force, once the fault is
-/// over.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// Longest time from the end of the fault until an accepted configuration is in force.
+const MAX_APPLY_DELAY: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum When {
+enum FaultStep {
     Opening,
     Established,
     Change,
 }
 
-/// What a fault is allowed to do to the callers.
+/// What callers may notice of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Harm {
-    /// Nothing: every request is served and every feed lives.
+enum Impact {
+    /// Nothing: every request is served and no feed breaks.
     None,
-    /// A target sheds load: its refusals reach the callers.
-    Sheds,
-    /// Flows whose own agent or target died, or went silent, end with it.
-    OwnerDies,
+    /// Requests are refused by a target that sheds load.
+    Refusals,
+    /// Flows whose agent or target ended, or went silent, are lost.
+    FlowsLost,
 }
 
 struct Case {
     name: &'static str,
-    harm: Harm,
+    impact: Impact,
+    /// Whether it is planned work, during which no request may fail.
     planned: bool,
-    before: Vec<Action>,
-    on: Vec<Action>,
-    off: Vec<Action>,
+    /// Actions before the load starts.
+    setup: Vec<Action>,
+    /// Actions that start the fault.
+    start: Vec<Action>,
+    /// Actions that end it.
+    end: Vec<Action>,
 }
 
-fn acts(text: &[&str]) -> Vec<Action> {
+fn parse_actions(text: &[&str]) -> Vec<Action> {
     text.iter().map(|t| t.parse().unwrap()).collect()
 }
 
-fn case(name: &'static str, harm: Harm, on: &[&str], off: &[&str]) -> Case {
-    let (on, off) = (acts(on), acts(off));
-    Case { name, harm, planned: false, before: Vec::new(), on, off }
+fn case(name: &'static str, impact: Impact, start: &[&str], end: &[&str]) -> Case {
+    let (start, end) = (parse_actions(start), parse_actions(end));
+    Case { name, impact, planned: false, setup: Vec::new(), start, end }
 }
 
-fn planned(name: &'static str, on: &[&str], off: &[&str]) -> Case {
-    Case { planned: true, ..case(name, Harm::None, on, off) }
+fn planned(name: &'static str, start: &[&str], end: &[&str]) -> Case {
+    Case { planned: true, ..case(name, Impact::None, start, end) }
 }
 
-fn target_fault(name: &'static str, harm: Harm, faults: target::Faults) -> Case {
-    let set = |f| vec![Action::Target("meter-1".into(), f)];
-    Case { on: set(faults), off: set(target::Faults::default()), ..case(name, harm, &[], &[]) }
+fn target_fault(name: &'static str, impact: Impact, faults: target::Faults) -> Case {
+    let set_faults = |f| vec![Action::Target("meter-1".into(), f)];
+    Case {
+        start: set_faults(faults),
+        end: set_faults(target::Faults::default()),
+        ..case(name, impact, &[], &[])
+    }
 }
 
 fn cases() -> Vec<Case> {
-    use Harm::{None, OwnerDies, Sheds};
-    let blind = |blind| {
+    use Impact::{FlowsLost, None, Refusals};
+    let set_blind = |blind| {
         vec![Action::Balancer("lb-1".into(), admin::Faults { blind, ..Default::default() })]
     };
     let noise = admin::Faults { lose: 30, double: 100, delay: 200, ..Default::default() };
@@ -98,27 +100,34 @@
         case("balancer killed twice", None, &["kill lb-1", "kill lb-2"], &["start lb-1"]),
         planned("balancer stopped", &["stop lb-1"], &["start lb-1"]),
         case("balancer frozen", None, &["freeze lb-1"], &["thaw lb-1"]),
-        Case { before: acts(&["kill lb-2"]), ..case("balancer joins", None, &["start lb-2"], &[]) },
+        Case {
+            setup: parse_actions(&["kill lb-2"]),
+            ..case("balancer joins", None, &["start lb-2"], &[])
+        },
         planned("agent stopped", &["stop agent-meter-1"], &["start agent-meter-1"]),
-        case("agent killed", OwnerDies, &["kill agent-meter-1"], &["start agent-meter-1"]),
+        case("agent killed", FlowsLost, &["kill agent-meter-1"], &["start agent-meter-1"]),
         case("agent frozen", None, &["freeze agent-meter-1"], &["thaw agent-meter-1"]),
         planned("target drained", &["drain meter-1"], &["resume meter-1"]),
-        case("target killed, cold start", OwnerDies, &["kill meter-1"], &["start meter-1"]),
+        case("target killed, cold start", FlowsLost, &["kill meter-1"], &["start meter-1"]),
         target_fault("target slow", None, target::Faults { slow_ms: 30, ..Default::default() }),
-        target_fault("target sheds", Sheds, target::Faults { shed: true, ..Default::default() }),
+        target_fault("target sheds", Refusals, target::Faults { shed: true, ..Default::default() }),
         target_fault(
             "target sheds and lies",
-            Sheds,
+            Refusals,
             target::Faults { shed: true, lie: true, ..Default::default() },
         ),
-        Case { on: blind(true), off: blind(false), ..case("uneven updates", None, &[], &[]) },
+        Case {
+            start: set_blind(true),
+            end: set_blind(false),
+            ..case("uneven updates", None, &[], &[])
+        },
         case("store down", None, &["store outage"], &["store ok"]),
         case("store slow", None, &["store slow 900"], &["store ok"]),
         case("answers lost", None, &["store lose 3"], &["store ok"]),
         case("leases lapse", None, &["store lapse"], &["store ok"]),
-        case("connections silent", OwnerDies, &["fabric mute"], &[]),
+        case("connections silent", FlowsLost, &["fabric mute"], &[]),
         Case {
-            on: vec![Action::Fabric(noise)],
+            start: vec![Action::Fabric(noise)],
             ..case("packets lost, doubled, late", None, &[], &["fabric ok"])
         },
         case(
@@ -135,36 +144,36 @@
         ),
         case(
             "answers lost, agent killed, packets lost",
-            OwnerDies,
+            FlowsLost,
             &["store lose 3", "kill agent-meter-1", "fabric lose 30"],
             &["start agent-meter-1", "fabric ok", "store ok"],
         ),
     ]
 }
 
-/// One promise in one cell: passed, not asked, or what went wrong.
-type Cell = Option<Result<(), String>>;
+/// Result of checking one guarantee: passed, an error, or `None` if it does not apply.
+type CheckResult = Option<Result<(), String>>;
 
-struct Line {
+struct CaseResult {
     case: &'static str,
-    when: When,
-    cells: [Cell; 8],
-    /// Where the logs of its processes lie.
+    when: FaultStep,
+    checks: [CheckResult; 8],
+    /// Folder with the logs of its processes.
     logs: PathBuf,
 }
 
-impl Line {
-    fn failed(&self) -> bool {
-        self.cells.iter().flatten().any(Result::is_err)
+impl CaseResult {
+    fn has_failed(&self) -> bool {
+        self.checks.iter().flatten().any(Result::is_err)
     }
 }
 
-fn check(ok: bool, say: impl FnOnce() -> String) -> Cell {
-    Some(if ok { Ok(()) } else { Err(say()) })
+fn check(ok: bool, error: impl FnOnce() -> String) -> CheckResult {
+    Some(if ok { Ok(()) } else { Err(error()) })
 }
 
-/// Two operators change the meter profile from the same revision.
-async fn race(s: &Settings) -> [Outcome; 2] {
+/// Two operators change the meter profile concurrently, both from the same revision.
+async fn race_updates(s: &Settings) -> [Outcome; 2] {
     let store = store::Client::new(s.store.addr, Duration::from_secs(3)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
     let rev = store.get(&keys.profile("meter")).await.unwrap().unwrap().rev;
@@ -178,112 +187,133 @@
     [a.unwrap(), b.unwrap()]
 }
 
-async fn strike(case: &Case, when: When, site: &mut Site) -> Line {
+/// Runs `case` on a new site: load, the fault at step `when`, and all checks.
+async fn run_case(case: &Case, when: FaultStep, site: &mut Site) -> CaseResult {
     let s = site.settings.clone();
-    for action in &case.before {
+    for action in &case.setup {
         site.take(action).await.unwrap();
     }
     let load = Load { feeds: FEEDS, requests: REQUESTS, secs: 3, ..Load::default() };
-    let s2 = s.clone();
-    let run = tokio::task::spawn_local(async move { bench::measure(&s2, &load).await });
+    let load_settings = s.clone();
+    let load_run =
+        tokio::task::spawn_local(async move { bench::measure(&load_settings, &load).await });
     let step = |at, action: &Action| Step { at: Duration::from_millis(at), action: action.clone() };
-    let at = if when == When::Opening { 0 } else { STRIKE };
-    let mut raced = None;
-    if when == When::Change {
+    let at = if when == FaultStep::Opening { 0 } else { FAULT_START_MS };
+    let mut race_outcomes = None;
+    if when == FaultStep::Change {
         tokio::time::sleep(Duration::from_millis(at)).await;
         Action::Drain("meter-2".into()).take(&s).await.unwrap();
-        raced = Some(race(&s).await);
+        race_outcomes = Some(race_updates(&s).await);
     }
-    let from = if when == When::Change { 0 } else { at };
-    let over = END - STRIKE + from;
-    let steps: Vec<Step> = case.on.iter().map(|a| step(from, a)).collect();
-    let ends: Vec<Step> = case.off.iter().map(|a| step(0, a)).collect();
+    let fault_start = if when == FaultStep::Change { 0 } else { at };
+    let fault_end = FAULT_END_MS - FAULT_START_MS + fault_start;
+    let start_steps: Vec<Step> = case.start.iter().map(|a| step(fault_start, a)).collect();
+    let end_steps: Vec<Step> = case.end.iter().map(|a| step(0, a)).collect();
     let start = tokio::time::Instant::now();
-    site.play(&steps).await.unwrap();
-    tokio::time::sleep_until(start + Duration::from_millis(over)).await;
-    site.play(&ends).await.unwrap();
-    let rows = run.await.unwrap();
-    let in_force = fleet::in_force(&s, IN_FORCE).await;
-    let mut leaves = None;
-    if when == When::Change {
-        leaves = Some(new_work(site, "meter-2").await);
+    site.play(&start_steps).await.unwrap();
+    tokio::time::sleep_until(start + Duration::from_millis(fault_end)).await;
+    site.play(&end_steps).await.unwrap();
+    let rows = load_run.await.unwrap();
+    let in_force = fleet::in_force(&s, MAX_APPLY_DELAY).await;
+    let mut drained_flows = None;
+    if when == FaultStep::Change {
+        drained_flows = Some(new_flows(site, "meter-2").await);
         Action::Resume("meter-2".into()).take(&s).await.unwrap();
-        fleet::in_force(&s, IN_FORCE).await.unwrap();
+        fleet::in_force(&s, MAX_APPLY_DELAY).await.unwrap();
     }
-    let broken = common::violation_count(site).await;
-    let cells = judge(case, &rows, broken, leaves, raced, in_force.map(drop));
+    let violations = common::violation_count(site).await;
+    let checks =
+        evaluate(case, &rows, violations, drained_flows, race_outcomes, in_force.map(drop));
     let logs = site.path.parent().unwrap().to_path_buf();
-    Line { case: case.name, when, cells, logs }
+    CaseResult { case: case.name, when, checks, logs }
 }
 
-/// Requests that a target gets now, past its grace.
-async fn new_work(site: &Site, name: &str) -> u32 {
-    let args = Load { requests: 30, secs: 1, ..Load::default() };
-    let rows = bench::measure(&site.settings, &args).await;
+/// Runs a short load; returns how many of its requests target `name` serves.
+async fn new_flows(site: &Site, name: &str) -> u32 {
+    let load = Load { requests: 30, secs: 1, ..Load::default() };
+    let rows = bench::measure(&site.settings, &load).await;
     rows.iter().filter_map(|r| r.served.get(name)).sum()
 }
 
-fn judge(
+/// The checks of a case, P1 to P8 in the table:
+///
+/// 1. no open feed breaks;
+/// 2. no process violates an invariant, and no request reaches another service;
+/// 3. every request is served, or refused if the fault allows it;
+/// 4. no request that was refused as not run has run;
+/// 5. no request runs twice;
+/// 6. a drained target gets no new flows;
+/// 7. planned work fails no request and breaks no feed;
+/// 8. one of two concurrent updates wins, and the configuration comes into force in time.
+fn evaluate(
     case: &Case,
     rows: &[Row],
-    broken: u64,
-    leaves: Option<u32>,
-    raced: Option<[Outcome; 2]>,
+    violations: u64,
+    drained_flows: Option<u32>,
+    race_outcomes: Option<[Outcome; 2]>,
     in_force: anyhow::Result<()>,
-) -> [Cell; 8] {
+) -> [CheckResult; 8] {
     let all = |ok: fn(&Row) -> bool| check(rows.iter().all(ok), || format!("{rows:?}"));
-    let none = case.harm == Harm::None;
-    let won = raced.is_none_or(|r| r.iter().filter(|o| **o == Outcome::Written).count() == 1);
+    let unnoticed = case.impact == Impact::None;
+    let one_winner =
+        race_outcomes.is_none_or(|r| r.iter().filter(|o| **o == Outcome::Written).count() == 1);
     [
-        if case.harm == Harm::OwnerDies { None } else { all(|r| r.broken == 0) },
-        check(broken == 0 && rows.iter().all(|r| r.foreign == 0), || format!("E999 {broken}")),
-        match case.harm {
-            Harm::None => all(|r| r.wrong == 0 && r.ok == REQUESTS),
-            Harm::Sheds => all(|r| r.wrong == 0 && r.ok + r.shed == REQUESTS),
-            Harm::OwnerDies => all(|r| r.wrong == 0),
+        if case.impact == Impact::FlowsLost { None } else { all(|r| r.broken == 0) },
+        check(violations == 0 && rows.iter().all(|r| r.foreign == 0), || {
+            format!("E999 {violations}")
+        }),
+        match case.impact {
+            Impact::None => all(|r| r.wrong == 0 && r.ok == REQUESTS),
+            Impact::Refusals => all(|r| r.wrong == 0 && r.ok + r.shed == REQUESTS),
+            Impact::FlowsLost => all(|r| r.wrong == 0),
         },
         all(|r| r.lied == 0),
         all(|r| r.doubled == 0),
-        leaves.map(|n| if n == 0 { Ok(()) } else { Err(format!("{n} new flows")) }),
-        if case.planned && none {
+        drained_flows.map(|n| if n == 0 { Ok(()) } else { Err(format!("{n} new flows")) }),
+        if case.planned && unnoticed {
             all(|r| r.failed + r.refused + r.shed + r.broken == 0)
         } else {
             None
         },
-        check(won && in_force.is_ok(), || format!("one winner: {won}; {in_force:?}")),
+        check(one_winner && in_force.is_ok(), || format!("one winner: {one_winner}; {in_force:?}")),
     ]
 }
 
-async fn work(worker: u16, cases: Rc<RefCell<VecDeque<Case>>>, lines: Rc<RefCell<Vec<Line>>>) {
-    let mut step = 0;
+/// Runs cases of the queue, each at every step, on ports of worker `worker`.
+async fn run_worker(
+    worker: u16,
+    cases: Rc<RefCell<VecDeque<Case>>>,
+    results: Rc<RefCell<Vec<CaseResult>>>,
+) {
+    let mut run = 0;
     loop {
         let Some(case) = cases.borrow_mut().pop_front() else { return };
-        for when in [When::Opening, When::Established, When::Change] {
-            step += 1;
-            let name = format!("matrix{worker}-{step}");
+        for when in [FaultStep::Opening, FaultStep::Established, FaultStep::Change] {
+            run += 1;
+            let name = format!("matrix{worker}-{run}");
             let mut site = common::start_site(&name, 29_500 + 500 * worker, 3, 3, 2).await;
-            let line = strike(&case, when, &mut site).await;
+            let result = run_case(&case, when, &mut site).await;
             let killed = site.down().await;
             if !killed.is_empty() {
                 println!("{} {when:?}: {killed:?} did not stop in time", case.name);
             }
-            if !line.failed() {
-                let _ = std::fs::remove_dir_all(&line.logs);
+            if !result.has_failed() {
+                let _ = std::fs::remove_dir_all(&result.logs);
             }
-            lines.borrow_mut().push(line);
+            results.borrow_mut().push(result);
         }
     }
 }
 
-fn table(lines: &[Line]) -> String {
+fn render_table(results: &[CaseResult]) -> String {
     let mut out = String::from(
         "| fault | step | P1 | P2 | P3 | P4 | P5 | P6 | P7 | P8 |\n\
          |---|---|---|---|---|---|---|---|---|---|\n",
     );
-    for l in lines {
-        let _ = write!(out, "| {} | {:?} |", l.case, l.when);
-        for cell in &l.cells {
-            let text = match cell {
+    for r in results {
+        let _ = write!(out, "| {} | {:?} |", r.case, r.when);
+        for check in &r.checks {
+            let text = match check {
                 None => "n/a",
                 Some(Ok(())) => "passed",
                 Some(Err(_)) => "FAILED",
@@ -295,39 +325,38 @@
     out
 }
 
-/// The cases to play: all once, or those that the environment names, as often
-/// as it says.
-fn chosen() -> VecDeque<Case> {
+/// Cases selected by the environment variables; by default, each case once.
+fn selected_cases() -> VecDeque<Case> {
     let only = std::env::var("JUJUBEPOST_MATRIX_ONLY").unwrap_or_default();
     let times = std::env::var("JUJUBEPOST_MATRIX_TIMES").map_or(1, |n| n.parse().unwrap());
-    let named = |c: &Case| only.is_empty() || only.split(';').any(|n| n == c.name);
-    (0..times).flat_map(|_| cases()).filter(named).collect()
+    let is_selected = |c: &Case| only.is_empty() || only.split(';').any(|n| n == c.name);
+    (0..times).flat_map(|_| cases()).filter(is_selected).collect()
 }
 
 #[ntex::test]
 async fn every_fault_every_step() {
     let order: Vec<&str> = cases().iter().map(|c| c.name).collect();
-    let queue: Rc<RefCell<VecDeque<Case>>> = Rc::new(RefCell::new(chosen()));
-    let lines = Rc::new(RefCell::new(Vec::new()));
-    let workers =
-        (0..WORKERS).map(|w| tokio::task::spawn_local(work(w, queue.clone(), lines.clone())));
+    let queue: Rc<RefCell<VecDeque<Case>>> = Rc::new(RefCell::new(selected_cases()));
+    let results = Rc::new(RefCell::new(Vec::new()));
+    let workers = (0..WORKERS)
+        .map(|w| tokio::task::spawn_local(run_worker(w, queue.clone(), results.clone())));
     for w in workers.collect::<Vec<_>>() {
         w.await.unwrap();
     }
-    let mut lines = lines.take();
-    lines.sort_by_key(|l| order.iter().position(|n| *n == l.case));
-    let text = table(&lines);
+    let mut results = results.take();
+    results.sort_by_key(|r| order.iter().position(|n| *n == r.case));
+    let text = render_table(&results);
     println!("{text}");
     if let Ok(path) = std::env::var("JUJUBEPOST_MATRIX") {
         std::fs::write(path, &text).unwrap();
     }
-    let failed: Vec<String> = lines
+    let failed: Vec<String> = results
         .iter()
-        .flat_map(|l| l.cells.iter().enumerate().map(move |(i, c)| (l, i, c)))
-        .filter_map(|(l, i, c)| {
-            let why = c.as_ref()?.as_ref().err()?;
-            let logs = l.logs.display();
-            Some(format!("{} {:?} P{}: {why}; logs: {logs}", l.case, l.when, i + 1))
+        .flat_map(|r| r.checks.iter().enumerate().map(move |(i, c)| (r, i, c)))
+        .filter_map(|(r, i, c)| {
+            let error = c.as_ref()?.as_ref().err()?;
+            let logs = r.logs.display();
+            Some(format!("{} {:?} P{}: {error}; logs: {logs}", r.case, r.when, i + 1))
         })
         .collect();
     assert!(failed.is_empty(), "{}", failed.join("\n"));
