--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn drain_refuses_only_after_grace() {
+fn draining_refuses_only_after_grace() {
     assert_eq!(admit(Some(Duration::from_secs(1)), GRACE, false, 0, 10), Admission::Accept);
     assert_eq!(admit(Some(GRACE), GRACE, false, 0, 10), Admission::Refuse(Refusal::Draining));
 }
--- a/tests/balancer_resume.rs
+++ b/tests/balancer_resume.rs
@@ -1,5 +1,5 @@
-//! A balancer process that did not run for a while: what it knew before no longer proves
-//! anything about agents and flows.
+//! A balancer that resumes after a pause: what it learnt before is no evidence that agents
+//! are down or flows are lost.
 
 mod common;
 
@@ -15,8 +15,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How long the balancer does not run; longer than `dead_after`.
-const PAUSED: Duration = Duration::from_secs(5);
+/// Length of the pause, longer than `dead_after`.
+const PAUSE: Duration = Duration::from_secs(5);
 
 fn receive_packet(s: &mut FlowSteering, now: Instant) -> Recorder {
     let mut out = Recorder::default();
@@ -32,7 +32,11 @@
 }
 
 /// Number of resets after `agents` denied the flow and the others timed out.
-fn denied(s: &mut FlowSteering, agents: impl IntoIterator<Item = u8>, now: Instant) -> usize {
+fn resets_after_denials(
+    s: &mut FlowSteering,
+    agents: impl IntoIterator<Item = u8>,
+    now: Instant,
+) -> usize {
     let mut out = receive_packet(s, now);
     for n in agents {
         let answer = Answer { flow: flow(1), status: FlowStatus::Unknown, hint: None };
@@ -48,11 +52,11 @@
 fn no_reset_before_store_answers() {
     let now = Instant::now();
     let mut s = steering(3, now);
-    let back = now + PAUSED;
-    s.resume(PAUSED);
-    assert_eq!(denied(&mut s, 1..=3, back), 0);
-    s.set_store_reachable(true, back + 600 * MS);
-    assert_eq!(denied(&mut s, 1..=3, back + 600 * MS), 1);
+    let resumed = now + PAUSE;
+    s.resume(PAUSE);
+    assert_eq!(resets_after_denials(&mut s, 1..=3, resumed), 0);
+    s.set_store_reachable(true, resumed + 600 * MS);
+    assert_eq!(resets_after_denials(&mut s, 1..=3, resumed + 600 * MS), 1);
 }
 
 /// Guards against resetting a live flow because the pause counts as an agent's silence.
@@ -61,11 +65,15 @@
     let now = Instant::now();
     let mut s = steering(3, now);
     s.roster.record_timeout(agent(3), now + 50 * MS);
-    let back = now + 100 * MS + PAUSED;
-    s.resume(PAUSED);
-    s.set_store_reachable(true, back);
-    assert_eq!(denied(&mut s, 1..=2, back), 0);
-    assert_eq!(denied(&mut s, 1..=2, back + 4_000 * MS), 1, "it was asked for 4 s");
+    let resumed = now + 100 * MS + PAUSE;
+    s.resume(PAUSE);
+    s.set_store_reachable(true, resumed);
+    assert_eq!(resets_after_denials(&mut s, 1..=2, resumed), 0);
+    assert_eq!(
+        resets_after_denials(&mut s, 1..=2, resumed + 4_000 * MS),
+        1,
+        "it was silent for 4 s after the pause"
+    );
 }
 
 /// Guards against removing an unlisted agent because it was not pinged during the pause.
@@ -77,19 +85,19 @@
     s.roster.update(&listed, now + 50 * MS);
     tick(&mut s, now + 50 * MS);
     s.roster.handle_pong(agent(3), SERVICE, 0, now + 60 * MS);
-    let back = now + 100 * MS + PAUSED;
-    s.resume(PAUSED);
-    tick(&mut s, back);
-    assert_eq!(s.roster.len(), 3, "it answered when it was last asked");
-    tick(&mut s, back + 3_000 * MS);
-    assert_eq!(s.roster.len(), 2, "it was asked and did not answer for 3 s");
+    let resumed = now + 100 * MS + PAUSE;
+    s.resume(PAUSE);
+    tick(&mut s, resumed);
+    assert_eq!(s.roster.len(), 3, "it answered its last ping");
+    tick(&mut s, resumed + 3_000 * MS);
+    assert_eq!(s.roster.len(), 2, "it did not answer a ping for 3 s");
 }
 
 /// A store without changes: blocking watches never return.
 #[derive(Clone)]
-struct Quiet;
+struct UnchangedStore;
 
-impl WatchStore for Quiet {
+impl WatchStore for UnchangedStore {
     async fn list(&self, _prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         Ok((1, Vec::new()))
     }
@@ -102,39 +110,39 @@
     }
 }
 
-/// Guards against a pending watch delaying the news, after a pause, that the store is
-/// reachable, without which no lost flow is reset.
+/// Guards against lost flows not being reset after a pause: a pending watch must not delay
+/// the event that the store is reachable.
 #[ntex::test]
 async fn store_reachability_reported_after_pause() {
     let refresh = Arc::new(Notify::new());
     let source = Source {
-        store: Quiet,
+        store: UnchangedStore,
         prefix: String::new(),
         peers: Vec::new(),
         peer_fallback: PeerFallback::WhenEmpty,
         batch_delay: Duration::ZERO,
         refresh: refresh.clone(),
     };
-    let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut receiver) = tokio::sync::mpsc::unbounded_channel();
     let follow = mirror::follow(
         &source,
         |_| None,
-        |news| {
-            if matches!(news, MirrorEvent::Recovered) {
-                tell.send(()).unwrap();
+        |event| {
+            if matches!(event, MirrorEvent::Recovered) {
+                sender.send(()).unwrap();
             }
         },
     );
-    let back = async {
-        told.recv().await.unwrap();
+    let two_refreshes = async {
+        receiver.recv().await.unwrap();
         for _ in 0..2 {
             tokio::time::sleep(50 * MS).await;
             refresh.notify_one();
-            tokio::time::timeout(500 * MS, told.recv()).await.unwrap().unwrap();
+            tokio::time::timeout(500 * MS, receiver.recv()).await.unwrap().unwrap();
         }
     };
     tokio::select! {
-        () = back => {}
+        () = two_refreshes => {}
         () = follow => unreachable!(),
     }
 }
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -1,5 +1,5 @@
 //! A balancer suspended while the store discards the changes it missed: it lists the
-//! keys again and applies the newest orders.
+//! keys again and applies the newest configuration.
 
 mod common;
 
--- a/tests/config_relay.rs
+++ b/tests/config_relay.rs
@@ -33,7 +33,7 @@
     Routes { version, by_address: routes, idle_timeout: Duration::from_secs(12) }
 }
 
-fn steer() -> FlowSteering {
+fn steering() -> FlowSteering {
     FlowSteering::new(addr(7_720), "gjw-a".into(), Duration::from_secs(60))
 }
 
@@ -84,19 +84,19 @@
     all.version = 9;
     all.by_address.get_mut(&addr(5)).unwrap().request_timeout = Duration::from_secs(1);
     assert_eq!(publish(&mut copy, &relay_at(1), &all), 2, "the part and the index");
-    let mut s = steer();
+    let mut s = steering();
     SnapshotReader::default().apply_snapshot(&mut s, &copy);
     assert_eq!(s.routes(), Some(&all));
 }
 
-/// A listing read in pages may mix parts of two versions.
+/// Guards against applying parts of two versions, which a listing read in pages may mix.
 #[test]
 fn mixed_versions_not_applied() {
     let (mut copy, relay) = (large_config(), relay_at(1));
     publish(&mut copy, &relay, &routes(7, 50));
     let old = copy.clone();
     publish(&mut copy, &relay, &routes(8, 60));
-    let (mut s, mut reader) = (steer(), SnapshotReader::default());
+    let (mut s, mut reader) = (steering(), SnapshotReader::default());
     reader.apply_snapshot(&mut s, &old);
     assert_eq!(s.config_version(), Some(7));
     let mut mixed = copy.clone();
@@ -177,8 +177,8 @@
     async fn watch(&self, prefix: &str, after: i64, _: bool) -> anyhow::Result<WatchBatch> {
         self.watched.borrow_mut().push(prefix.to_string());
         if after == 99 {
-            let gone = Change::Delete { key: (&*self.relay).into(), rev: 101 };
-            return Ok(WatchBatch { rev: 101, compacted: false, changes: vec![gone] });
+            let deletion = Change::Delete { key: (&*self.relay).into(), rev: 101 };
+            return Ok(WatchBatch { rev: 101, compacted: false, changes: vec![deletion] });
         }
         std::future::pending().await
     }
@@ -198,14 +198,14 @@
     };
     let narrow_prefix =
         |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(SYSTEM_PREFIX);
-    let seen = RefCell::new(Vec::new());
-    let run = follow(&source, narrow_prefix, |news| {
-        if let MirrorEvent::Updated(copy) = news {
-            seen.borrow_mut().push(copy.keys[config::CONFIG_KEY].value.clone());
+    let values = RefCell::new(Vec::new());
+    let run = follow(&source, narrow_prefix, |event| {
+        if let MirrorEvent::Updated(copy) = event {
+            values.borrow_mut().push(copy.keys[config::CONFIG_KEY].value.clone());
         }
     });
     let _ = tokio::time::timeout(300 * MS, run).await;
-    assert_eq!(*seen.borrow(), [b"old".to_vec(), b"old".to_vec(), b"new".to_vec()]);
+    assert_eq!(*values.borrow(), [b"old".to_vec(), b"old".to_vec(), b"new".to_vec()]);
     assert_eq!(*watched.borrow(), [SYSTEM_PREFIX, ""]);
 }
 
@@ -253,7 +253,7 @@
     }
 }
 
-/// Changes come into force in time, also while a relay is killed.
+/// Changes come into force in time, also after a relay is killed.
 #[ntex::test]
 async fn changes_apply_despite_dead_relay() {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"));
@@ -280,6 +280,6 @@
     wait_in_force(&t, 5, &left).await;
     t.launch(&label).unwrap();
     wait_following(&t, 5, &all, 4).await;
-    assert_eq!(t.down().await, Vec::<String>::new(), "had to be killed");
+    assert_eq!(t.down().await, Vec::<String>::new(), "processes that did not stop in time");
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/input_decoding.rs
+++ b/tests/input_decoding.rs
@@ -27,8 +27,8 @@
     let parts: Vec<_> = split.services.iter().map(|s| (&*s.service, s.weight)).collect();
     assert_eq!(parts, [("meter", 90), ("fieldlog", 10)]);
     assert_eq!(split.services[0].max_flows, 2_000);
-    let plain = &routes.by_address[&"198.18.0.2:443".parse().unwrap()];
-    assert_eq!(&*plain.services[0].service, "fieldlog");
+    let single = &routes.by_address[&"198.18.0.2:443".parse().unwrap()];
+    assert_eq!(&*single.services[0].service, "fieldlog");
 }
 
 #[test]
@@ -73,23 +73,23 @@
         ("i-7f3a91c2", "meter", 5, 4)
     );
     assert_eq!((r.state, r.warmup), (TargetState::Draining, Duration::from_millis(700)));
-    let born = body.replace("\"seq\":4", "\"seq\":4,\"born\":1796265600123");
-    let call = decode("/v1/Instances.Heartbeat/i-1", born.as_bytes()).unwrap();
+    let with_start_time = body.replace("\"seq\":4", "\"seq\":4,\"born\":1796265600123");
+    let call = decode("/v1/Instances.Heartbeat/i-1", with_start_time.as_bytes()).unwrap();
     let Some(InstanceCall::Heartbeat(r)) = call else { panic!("{call:?}") };
     assert_eq!(
         r.incarnation,
         Incarnation { id: "i-1".into(), started_ms: Some(1_796_265_600_123) }
     );
-    let gone = decode("/v1/Instances.Deregister/i-1", br#"{"born":7}"#).unwrap();
+    let deregistration = decode("/v1/Instances.Deregister/i-1", br#"{"born":7}"#).unwrap();
     assert_eq!(
-        gone,
+        deregistration,
         Some(InstanceCall::Deregister(Incarnation { id: "i-1".into(), started_ms: Some(7) }))
     );
-    let gone = decode("/v1/Instances.Deregister/i-7f3a91c2", b"").unwrap();
-    assert_eq!(gone, Some(InstanceCall::Deregister("i-7f3a91c2".into())));
+    let deregistration = decode("/v1/Instances.Deregister/i-7f3a91c2", b"").unwrap();
+    assert_eq!(deregistration, Some(InstanceCall::Deregister("i-7f3a91c2".into())));
     assert_eq!(decode("/other", b"").unwrap(), None);
-    let bad = decode("/v1/Instances.Heartbeat/i-1", br#"{"service":"m","capacity":"x"}"#);
-    assert!(format!("{:#}", bad.unwrap_err()).contains("i-1"));
+    let invalid = decode("/v1/Instances.Heartbeat/i-1", br#"{"service":"m","capacity":"x"}"#);
+    assert!(format!("{:#}", invalid.unwrap_err()).contains("i-1"));
 }
 
 #[test]
@@ -121,8 +121,8 @@
     protocol::encode(&message, &[], &mut buf).unwrap();
     assert!(buf.len() <= 1_236, "{} bytes: longer than a packet", buf.len());
     assert_eq!(protocol::decode(&buf).unwrap().0, message);
-    let big = vec![0; protocol::MAX_DATAGRAM_BYTES];
-    assert!(protocol::encode(&Message::Ping { listed: true }, &big, &mut buf).is_err());
+    let oversized = vec![0; protocol::MAX_DATAGRAM_BYTES];
+    assert!(protocol::encode(&Message::Ping { listed: true }, &oversized, &mut buf).is_err());
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let s = Settings::parse(good).unwrap();
     assert_eq!(s.bus_addr(), "10.1.0.12:7720".parse().unwrap());
     assert_eq!(s.peer_addrs(), ["10.2.0.40:7720".parse().unwrap()], "not itself");
-    for (from, to, field) in [
+    for (valid, invalid, field) in [
         ("[7720, 7735]", "[7735, 7720]", "ports"),
         ("10.1.0.12:8172", "10.1.0.12:0", "packets"),
         ("\"grace_s\": 6", "\"grace_s\": 0", "bounds.grace_s"),
@@ -145,7 +145,7 @@
         ("\"zone\"", "\"policy\": { \"steer\": { \"round\": 0 } }, \"zone\"", "policy.steer.round"),
         ("\"zone\"", "\"policy\": { \"hold\": { \"quue\": 1 } }, \"zone\"", "policy.hold.quue"),
     ] {
-        let e = format!("{:#}", Settings::parse(&good.replace(from, to)).unwrap_err());
-        assert!(e.contains(field), "{to}: {e}");
+        let e = format!("{:#}", Settings::parse(&good.replace(valid, invalid)).unwrap_err());
+        assert!(e.contains(field), "{invalid}: {e}");
     }
 }
--- a/tests/invalid_input.rs
+++ b/tests/invalid_input.rs
@@ -89,28 +89,32 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 512,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     /// An invalid report does not change the target's state.
     #[test]
     fn invalid_report_ignored(r in altered_report()) {
         let now = Instant::now();
-        let mut h = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
-        let body = |state: &str, seq: u64| {
+        let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+        let report_with = |state: &str, seq: u64| {
             let mut r = valid_report();
             r["state"] = state.into();
             r["seq"] = seq.into();
             serde_json::to_vec(&r).unwrap()
         };
-        let apply = |h: &mut FlowTracker, body: &[u8]| {
+        let apply = |tracker: &mut FlowTracker, body: &[u8]| {
             if let Ok(Some(InstanceCall::Heartbeat(r))) = decode(body) {
-                h.handle_report(r, now);
+                tracker.handle_report(r, now);
             }
         };
-        apply(&mut h, &body("ready", 3));
-        apply(&mut h, &serde_json::to_vec(&r).unwrap());
-        let state = h.target().unwrap().state();
-        prop_assert!(is_valid(&r) || state == TargetState::Ready, "taken: {r}");
+        apply(&mut tracker, &report_with("ready", 3));
+        apply(&mut tracker, &serde_json::to_vec(&r).unwrap());
+        let state = tracker.target().unwrap().state();
+        prop_assert!(is_valid(&r) || state == TargetState::Ready, "accepted: {r}");
     }
 
     /// An invalid registration does not hide the valid ones.
@@ -121,9 +125,11 @@
     ], name in "[a-z0-9./]{0,16}") {
         let mut s = steering(0, Instant::now());
         let mut reader = SnapshotReader::default();
-        let foreign = Kv { key: format!("{AGENT_PREFIX}{name}").into(), value: value.clone(), rev: 9, lease: 0 };
-        let bad: Kv = Kv { key: Arc::from(relay::INDEX_KEY), value, rev: 10, lease: 0 };
-        reader.apply_snapshot(&mut s, &snapshot([foreign, bad, registration(1), registration(2)]));
+        let key = format!("{AGENT_PREFIX}{name}").into();
+        let invalid_agent = Kv { key, value: value.clone(), rev: 9, lease: 0 };
+        let invalid_index = Kv { key: Arc::from(relay::INDEX_KEY), value, rev: 10, lease: 0 };
+        let kvs = [invalid_agent, invalid_index, registration(1), registration(2)];
+        reader.apply_snapshot(&mut s, &snapshot(kvs));
         prop_assert_eq!(s.roster.agents_of(SERVICE).count(), 2);
         prop_assert_eq!(s.config_version(), Some(1));
     }
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -1,6 +1,5 @@
-//! An agent suspended for longer than its lease: the store removes its announcement,
-//! the balancers stop choosing its target, and after resuming it announces itself
-//! under a new lease. No request fails meanwhile.
+//! An agent suspended for longer than its lease: its registration expires, balancers stop
+//! choosing its target, and it registers again once resumed. No request fails meanwhile.
 
 mod common;
 
@@ -11,7 +10,7 @@
 use jujubepost::up::Signal;
 
 #[ntex::test]
-async fn frozen_agent_returns() {
+async fn frozen_agent_registers_again() {
     let site = common::start_site("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -15,9 +15,9 @@
 const MAX_LINK_SHARE: f64 = 0.1;
 
 fn run(p: &Pattern, seed: u64) -> Stats {
-    let t = play(p, &Policy::default(), seed);
-    assert_eq!((t.broken, t.misrouted, t.doubled), (0, 0, 0), "{} seed {seed}", p.name);
-    t
+    let stats = play(p, &Policy::default(), seed);
+    assert_eq!((stats.broken, stats.misrouted, stats.doubled), (0, 0, 0), "{} seed {seed}", p.name);
+    stats
 }
 
 /// Each class of requests reaches the goal under balancer churn at high load.
@@ -25,8 +25,8 @@
 fn each_class_meets_goal() {
     let p = Pattern::named("churn_dense").unwrap();
     for seed in 1..=3 {
-        let t = run(&p, seed);
-        for (n, class) in t.classes.iter().enumerate() {
+        let stats = run(&p, seed);
+        for (n, class) in stats.classes.iter().enumerate() {
             assert!(class.worth() >= MIN_VALUE_SHARE, "seed {seed} class {n}: {}", class.worth());
         }
     }
@@ -44,7 +44,7 @@
         (Change::JoinBalancers, Duration::ZERO),
     ];
     for (cpu, mbps) in [(0.12, 10.0), (0.5, 10.0)] {
-        for (change, lasts) in changes {
+        for (change, duration) in changes {
             let site = Site { balancer_cpu: cpu, length: 16_000 * MS, ..Site::dense() };
             let p = Pattern {
                 name: "churn_ends",
@@ -52,9 +52,12 @@
                 site: site.link(mbps),
                 changes: vec![(3_000 * MS, change)],
             };
-            let t = run(&p, 1);
-            let back = t.between(5_000 * MS + lasts, p.site.length);
-            assert!(back >= 0.99, "{cpu} of a core, {mbps} Mbit/s, {change:?}: {back}");
+            let stats = run(&p, 1);
+            let served_share = stats.between(5_000 * MS + duration, p.site.length);
+            assert!(
+                served_share >= 0.99,
+                "{cpu} of a core, {mbps} Mbit/s, {change:?}: {served_share}"
+            );
         }
     }
 }
@@ -63,9 +66,9 @@
 #[test]
 fn messages_use_small_share_of_links() {
     let p = Pattern::named("churn_dense").unwrap();
-    let t = run(&p, 1);
+    let stats = run(&p, 1);
     let balancers = f64::from(p.site.balancers) * f64::from(p.site.zones);
-    let carried = p.site.link_mbps * 125_000.0 * balancers * p.site.length.as_secs_f64();
-    let part = t.message_bytes as f64 / carried;
-    assert!(part <= MAX_LINK_SHARE, "{part} of the links");
+    let link_bytes = p.site.link_mbps * 125_000.0 * balancers * p.site.length.as_secs_f64();
+    let share = stats.message_bytes as f64 / link_bytes;
+    assert!(share <= MAX_LINK_SHARE, "{share} of the links");
 }
--- a/tests/owner_search.rs
+++ b/tests/owner_search.rs
@@ -60,13 +60,13 @@
             let owner = if passed { offer.second.unwrap() } else { offer.first };
             let hint = passed.then_some(owner);
             receive_packet(&mut after, port, now);
-            let mut asked = tick(&mut after, now).queried();
+            let mut queried = tick(&mut after, now).queried();
             let mut count = 0;
-            while let Some(agent) = asked.pop() {
+            while let Some(agent) = queried.pop() {
                 count += 2;
                 let status = if agent == owner { FlowStatus::Held } else { FlowStatus::Unknown };
                 let out = receive_answer(&mut after, agent, port, status, hint, now);
-                asked.extend(out.queried());
+                queried.extend(out.queried());
                 if status == FlowStatus::Held {
                     assert_eq!(out.forwarded(ForwardMode::Owner), [owner]);
                     break;
@@ -111,7 +111,7 @@
             .forwarded(ForwardMode::Owner)
             .len()
     };
-    // Each packet has six bytes.
+    // Each packet is six bytes long.
     assert_eq!(found(&mut s, 1), 5);
     assert_eq!(found(&mut s, 2), 5);
 }
@@ -148,11 +148,11 @@
     for port in 1..=40 {
         receive_packet(&mut s, port, now);
     }
-    let asked: HashMap<_, _> = tick(&mut s, now).queried().into_iter().map(|a| (a, ())).collect();
+    let queried: HashMap<_, _> = tick(&mut s, now).queried().into_iter().map(|a| (a, ())).collect();
     tick(&mut s, now + 60 * MS);
     for n in 1..=4 {
         let silent = !s.roster.is_responsive(agent(n));
-        assert_eq!(silent, asked.contains_key(&agent(n)), "agent {n}");
+        assert_eq!(silent, queried.contains_key(&agent(n)), "agent {n}");
     }
 }
 
@@ -169,7 +169,7 @@
     assert_eq!(tick(&mut s, now).queried(), [first]);
 }
 
-/// The home agent of a flow that another agent took can name the owner afterwards.
+/// The home agent of a flow that another agent accepted can name the owner afterwards.
 #[test]
 fn home_agent_told_of_owner() {
     let now = Instant::now();
@@ -180,53 +180,54 @@
     let SentMessage::Open { offer, .. } = out.messages[0].1.clone() else { panic!("{out:?}") };
     // The home agent does not answer; the next two are offered the open.
     let out = tick(&mut s, now + 41 * MS);
-    let taker = out.offered()[0];
+    let owner = out.offered()[0];
     s.roster.handle_pong(home, SERVICE, 0, now + 42 * MS);
     let mut out = Recorder::default();
     let held =
         jujubepost::protocol::FlowUpdate { flow: flow(1), status: FlowStatus::Held, load: 0 };
-    s.handle_note(taker, held, now + 43 * MS, &mut out);
-    let hint = SentMessage::Hint { flow: flow(1), agent: taker };
+    s.handle_note(owner, held, now + 43 * MS, &mut out);
+    let hint = SentMessage::Hint { flow: flow(1), agent: owner };
     assert_eq!(out.messages, [(home, hint, vec![])], "offered {offer:?}");
 }
 
-/// Agent `n` answers that it may have forgotten flow 1.
-fn unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Recorder {
+/// Agent `n` answers that its target may hold flow 1.
+fn answer_unverified(s: &mut FlowSteering, n: u8, now: Instant) -> Recorder {
     receive_answer(s, agent(n), 1, FlowStatus::Unverified, None, now)
 }
 
-/// Guards against searches stalling during a release: a silent agent that removed its
-/// listing left with its target, while one still listed may be restarting.
+/// Guards against searches stalling during a release: a silent agent that is no longer
+/// listed has stopped, whereas one still listed may be restarting.
 #[test]
 fn departed_agent_does_not_delay_trials() {
     let now = Instant::now();
-    for left in [true, false] {
+    for departed in [true, false] {
         let mut s = steering(6, now);
         s.roster.record_timeout(agent(6), now + 50 * MS);
-        if left {
+        if departed {
             let listed: Vec<_> = (1..=5).map(listed_agent).collect();
             s.roster.update(&listed, now + 60 * MS);
         }
         let at = now + 100 * MS;
         receive_packet(&mut s, 1, at);
         tick(&mut s, at);
-        let early: usize =
-            (1..=5).map(|n| unverified(&mut s, n, at).forwarded(ForwardMode::Try).len()).sum();
-        assert_eq!(early, 0, "agent 6 may answer yet");
+        let early: usize = (1..=5)
+            .map(|n| answer_unverified(&mut s, n, at).forwarded(ForwardMode::Try).len())
+            .sum();
+        assert_eq!(early, 0, "agent 6 may still answer");
         let tried = tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try);
-        assert_eq!(tried.len(), if left { 2 } else { 0 }, "left {left}");
-        if left {
-            let foreign = |s: &mut FlowSteering, a| {
+        assert_eq!(tried.len(), if departed { 2 } else { 0 }, "departed {departed}");
+        if departed {
+            let reject = |s: &mut FlowSteering, a| {
                 receive_answer(s, a, 1, FlowStatus::NotOwner, None, at + 50 * MS)
             };
-            assert!(foreign(&mut s, tried[0]).forwarded(ForwardMode::Try).is_empty());
-            let rest = foreign(&mut s, tried[1]).forwarded(ForwardMode::Try);
-            assert_eq!(rest.len(), 3, "the flow's own is among them");
+            assert!(reject(&mut s, tried[0]).forwarded(ForwardMode::Try).is_empty());
+            let rest = reject(&mut s, tried[1]).forwarded(ForwardMode::Try);
+            assert_eq!(rest.len(), 3, "the owner is among them");
         }
     }
 }
 
-/// If the named owner may have forgotten the flow, only its target is tried, without
+/// If the owner named by a hint has not seen the flow, only its target is tried, without
 /// waiting for silent agents.
 #[test]
 fn named_owner_tried_at_once() {
@@ -273,7 +274,9 @@
     let at = now + 100 * MS;
     receive_packet(&mut s, 1, at);
     tick(&mut s, at);
-    (1..=5).for_each(|n| assert!(unverified(&mut s, n, at).forwarded(ForwardMode::Try).is_empty()));
+    (1..=5).for_each(|n| {
+        assert!(answer_unverified(&mut s, n, at).forwarded(ForwardMode::Try).is_empty())
+    });
     assert!(tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try).is_empty());
 }
 
@@ -282,10 +285,10 @@
 #[test]
 fn ended_target_does_not_delay_reset() {
     let now = Instant::now();
-    let other = |n, status, s: &mut FlowSteering, port, at| {
+    let answer_from = |n, status, s: &mut FlowSteering, port, at| {
         receive_answer(s, agent(n), port, status, None, at)
     };
-    for (said, reborn, resets) in [
+    for (status, restarted, resets) in [
         (FlowStatus::TargetEnded, false, 1),
         (FlowStatus::Unknown, false, 0),
         (FlowStatus::TargetEnded, true, 0),
@@ -293,8 +296,8 @@
         let mut s = steering(6, now);
         receive_packet(&mut s, 1, now);
         tick(&mut s, now);
-        other(6, said, &mut s, 1, now);
-        if reborn {
+        answer_from(6, status, &mut s, 1, now);
+        if restarted {
             let next = |a| jujubepost::steering::ListedAgent { target: Some("i-2".into()), ..a };
             let listed: Vec<_> = (1..=6).map(listed_agent).map(next).collect();
             s.roster.update(&listed, now);
@@ -303,9 +306,9 @@
         let at = now + 100 * MS;
         receive_packet(&mut s, 2, at);
         tick(&mut s, at);
-        let told =
-            (1..=5).flat_map(|n| other(n, FlowStatus::Unknown, &mut s, 2, at).resets).count();
-        let later = tick(&mut s, at + 41 * MS).resets.len();
-        assert_eq!(told + later, resets, "{said:?}, reborn {reborn}");
+        let on_answers =
+            (1..=5).flat_map(|n| answer_from(n, FlowStatus::Unknown, &mut s, 2, at).resets).count();
+        let on_timeout = tick(&mut s, at + 41 * MS).resets.len();
+        assert_eq!(on_answers + on_timeout, resets, "{status:?}, restarted {restarted}");
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,5 +1,5 @@
-//! An offered flow ends after at most three passes between two agents (four
-//! decisions): one agent accepts it, or neither could.
+//! Placement of an offered flow between two agents: it is decided after at most three
+//! passes, and refused only if neither agent can accept it.
 
 use std::net::SocketAddrV4;
 
--- a/tests/process_suspension.rs
+++ b/tests/process_suspension.rs
@@ -1,5 +1,5 @@
-//! A process that was suspended (SIGSTOP) and resumes: pauses and timeouts that begin
-//! afterwards must not take longer than asked for.
+//! A process that was suspended (SIGSTOP) and resumes: delays and timeouts that
+//! begin afterwards must not be prolonged.
 
 mod common;
 
--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -64,8 +64,8 @@
     assert_eq!(out.offered().len(), 1);
     assert_ne!(out.offered()[0], first);
     assert!(!s.roster.is_responsive(first), "offered last until it answers");
-    let pinged = tick(&mut s, later + MS).messages.len() + out.messages.len();
-    assert!(pinged > 1, "and asked");
+    let message_count = tick(&mut s, later + MS).messages.len() + out.messages.len();
+    assert!(message_count > 1, "it is pinged as well");
     s.roster.handle_pong(first, SERVICE, 0, later);
     assert!(s.roster.is_responsive(first));
 }
@@ -98,20 +98,20 @@
 #[test]
 fn reset_only_if_every_agent_denies() {
     let now = Instant::now();
-    for (sees, statuses, lost) in [
+    for (reachable, statuses, is_reset) in [
         (true, [FlowStatus::Unknown, FlowStatus::Unknown, FlowStatus::Unknown], true),
         (true, [FlowStatus::Unknown, FlowStatus::Unverified, FlowStatus::Unknown], false),
         (false, [FlowStatus::Unknown, FlowStatus::Unknown, FlowStatus::Unknown], false),
     ] {
         let mut s = steering(3, now);
-        s.set_store_reachable(sees, now);
+        s.set_store_reachable(reachable, now);
         receive_packet(&mut s, caller_data(1, 1_001, 77, 10), now);
         let mut resets = Vec::new();
         for (n, status) in statuses.into_iter().enumerate() {
             resets.extend(receive_update(&mut s, agent(n as u8 + 1), 1, status, now).resets);
         }
-        let want = if lost { vec![(flow(1), 77)] } else { vec![] };
-        assert_eq!(resets, want, "{sees} {statuses:?}");
+        let expected = if is_reset { vec![(flow(1), 77)] } else { vec![] };
+        assert_eq!(resets, expected, "{reachable} {statuses:?}");
     }
     let mut s = steering(3, now);
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), now);
@@ -149,11 +149,11 @@
                 .forwarded(ForwardMode::Try),
         );
     }
-    assert_eq!(more.len(), 0, "after a pause");
+    assert_eq!(more.len(), 0, "also after a pause");
 }
 
-/// Agent `n` answers that it may have forgotten flow 1; returns the trials that follow.
-fn unverified(s: &mut FlowSteering, n: u8, at: Instant) -> Vec<SocketAddrV4> {
+/// Agent `n` answers that its target may hold flow 1; returns the agents then tried.
+fn answer_unverified(s: &mut FlowSteering, n: u8, at: Instant) -> Vec<SocketAddrV4> {
     receive_update(s, agent(n), 1, FlowStatus::Unverified, at).forwarded(ForwardMode::Try)
 }
 
@@ -166,13 +166,13 @@
     let at = now + 100 * MS;
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), at);
     for n in 1..=3 {
-        assert!(unverified(&mut s, n, at).is_empty());
+        assert!(answer_unverified(&mut s, n, at).is_empty());
     }
     assert!(tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try).is_empty(), "agent 4 is silent");
     // The caller retransmits; agent 4 is back.
     let at = at + 600 * MS;
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), at);
-    let tried: Vec<_> = (1..=4).flat_map(|n| unverified(&mut s, n, at)).collect();
+    let tried: Vec<_> = (1..=4).flat_map(|n| answer_unverified(&mut s, n, at)).collect();
     assert_eq!(tried.len(), 2);
     // An agent that stays silent delays trials only for `restart_wait`.
     let mut s = steering(4, now);
@@ -180,7 +180,7 @@
     for round in 0..4 {
         let at = now + 100 * MS + round * 500 * MS;
         receive_packet(&mut s, caller_data(1, 1_001, 77, 10), at);
-        (1..=3).for_each(|n| assert!(unverified(&mut s, n, at).is_empty()));
+        (1..=3).for_each(|n| assert!(answer_unverified(&mut s, n, at).is_empty()));
         tried.push(tick(&mut s, at + 41 * MS).forwarded(ForwardMode::Try).len());
     }
     assert_eq!(tried, [0, 0, 0, 2]);
@@ -193,7 +193,7 @@
     let now = Instant::now();
     let mut s = steering(5, now);
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), now);
-    let first: Vec<_> = (1..=5).flat_map(|n| unverified(&mut s, n, now)).collect();
+    let first: Vec<_> = (1..=5).flat_map(|n| answer_unverified(&mut s, n, now)).collect();
     assert_eq!(first.len(), 2);
     let out = receive_update(&mut s, first[0], 1, FlowStatus::NotOwner, now);
     assert!(out.forwarded(ForwardMode::Try).is_empty(), "one of the two has not answered");
@@ -219,14 +219,14 @@
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), now);
     receive_update(&mut s, agent(1), 1, FlowStatus::NotOwner, now);
     receive_update(&mut s, agent(2), 1, FlowStatus::NotOwner, now);
-    let tried: Vec<_> = (3..=5).flat_map(|n| unverified(&mut s, n, now)).collect();
-    assert!(tried.is_empty(), "the store has just come back: {tried:?}");
+    let tried: Vec<_> = (3..=5).flat_map(|n| answer_unverified(&mut s, n, now)).collect();
+    assert!(tried.is_empty(), "the store has only just become reachable: {tried:?}");
     let at = now + 3_000 * MS;
     receive_packet(&mut s, caller_data(1, 1_001, 77, 10), at);
     receive_update(&mut s, agent(1), 1, FlowStatus::NotOwner, at);
     receive_update(&mut s, agent(2), 1, FlowStatus::NotOwner, at);
-    let tried: Vec<_> = (3..=5).flat_map(|n| unverified(&mut s, n, at)).collect();
-    assert_eq!(tried.len(), 3, "the list is current: the flow's own is among these");
+    let tried: Vec<_> = (3..=5).flat_map(|n| answer_unverified(&mut s, n, at)).collect();
+    assert_eq!(tried.len(), 3, "the roster is complete, so the owner is among these");
 }
 
 #[test]
@@ -240,7 +240,11 @@
     let mut s = steering(2, now);
     receive_packet(&mut s, syn(3), now);
     let full = FlowStatus::Refused(Refusal::Full);
-    assert_eq!(receive_update(&mut s, agent(1), 3, full, now).resets.len(), 1, "all are full");
+    assert_eq!(
+        receive_update(&mut s, agent(1), 3, full, now).resets.len(),
+        1,
+        "all targets are full"
+    );
 }
 
 /// Guards against refusing opens while agents are being listed again or their targets
@@ -258,7 +262,7 @@
     assert!(receive_update(&mut s, agent(1), 1, none, now + 102 * MS).resets.is_empty());
     assert_eq!(tick(&mut s, now + 203 * MS).offered(), [agent(1)]);
     let late = receive_update(&mut s, agent(1), 1, none, now + 1_400 * MS);
-    assert_eq!(late.resets.len(), 1, "its caller gives it up now");
+    assert_eq!(late.resets.len(), 1, "the caller stops retrying");
 }
 
 /// Guards against a flood of offers to an overloaded service: few each round, one round
@@ -320,7 +324,7 @@
     }
     assert_eq!(s.roster.len(), 2);
     tick(&mut s, now + 40 * 300 * MS + 3_100 * MS);
-    assert_eq!(s.roster.len(), 1, "silent for long");
+    assert_eq!(s.roster.len(), 1, "silent for more than 3 s");
 }
 
 #[test]
@@ -356,8 +360,8 @@
         let mut before = steering(7, now);
         let offered = receive_packet(&mut before, syn(port), now).offered()[0];
         let mut after = steering(7, now);
-        let asked = receive_packet(&mut after, caller_data(port, 1_001, 77, 10), now).queried();
-        assert_eq!(asked, [offered], "its home is where it was offered first");
+        let queried = receive_packet(&mut after, caller_data(port, 1_001, 77, 10), now).queried();
+        assert_eq!(queried, [offered], "the home agent is the one offered first");
         let mut tried = Vec::new();
         for n in 1..=7 {
             tried.extend(
@@ -389,16 +393,16 @@
 #[test]
 fn dead_agent_does_not_delay_reset() {
     let now = Instant::now();
-    for (silent, others, lost) in [(4_100, 2, true), (2_000, 2, false), (4_100, 0, false)] {
+    for (silent_ms, denying, is_reset) in [(4_100, 2, true), (2_000, 2, false), (4_100, 0, false)] {
         let mut s = steering(3, now);
         s.roster.record_timeout(agent(3), now + 50 * MS);
-        let at = now + 50 * MS + silent * MS;
+        let at = now + 50 * MS + silent_ms * MS;
         receive_packet(&mut s, caller_data(1, 1_001, 77, 10), at);
-        for n in 1..=others {
+        for n in 1..=denying {
             assert!(receive_update(&mut s, agent(n), 1, FlowStatus::Unknown, at).resets.is_empty());
         }
         let resets = tick(&mut s, at + 41 * MS).resets;
-        assert_eq!(resets.len(), usize::from(lost), "{silent} ms, {others} others");
+        assert_eq!(resets.len(), usize::from(is_reset), "{silent_ms} ms, {denying} denying");
     }
     // Also if the flow table names it as the owner.
     let mut s = steering(3, now);
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -1,5 +1,5 @@
-//! An outage of the key-value service longer than the leases: balancers keep routing by
-//! their last view, no request fails, and all targets are announced again afterwards.
+//! A store outage longer than the leases: balancers keep routing by their last view, no
+//! request fails, and all targets are registered again afterwards.
 
 mod common;
 
--- a/tests/tracker.rs
+++ b/tests/tracker.rs
@@ -229,8 +229,8 @@
     assert_eq!((out.to_target.len(), out.resets.len()), (1, 0));
     let mut out = forward(&mut tracker, ForwardMode::Owner, 1, 5_001, later);
     assert_eq!((out.to_target.len(), out.resets.len()), (1, 0));
-    let back = bounced(caller_data(1, 1_001, 5_001, 100));
-    tracker.handle_target_packet(&back, &mut b"data".to_vec(), later, &mut out, |_| {});
+    let returned = bounced(caller_data(1, 1_001, 5_001, 100));
+    tracker.handle_target_packet(&returned, &mut b"data".to_vec(), later, &mut out, |_| {});
     assert_eq!(out.resets, [(flow(1), 5_001)]);
 }
 
@@ -282,12 +282,12 @@
 #[test]
 fn start_missing_in_store() {
     let now = Instant::now();
-    for (heard, status) in [(100 * MS, FlowStatus::Unknown), (350 * MS, FlowStatus::Unverified)] {
+    for (delay, status) in [(100 * MS, FlowStatus::Unknown), (350 * MS, FlowStatus::Unverified)] {
         let mut tracker = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
         tracker.set_predecessor(Some("i-0".into()), now);
-        tracker.handle_report(report("i-1", 2, TargetState::Ready), now + heard);
-        let out = query(&mut tracker, 1, 5_001, now + heard);
-        assert_eq!(out.statuses(), [status], "heard after {heard:?}");
+        tracker.handle_report(report("i-1", 2, TargetState::Ready), now + delay);
+        let out = query(&mut tracker, 1, 5_001, now + delay);
+        assert_eq!(out.statuses(), [status], "report after {delay:?}");
     }
 }
 
@@ -359,8 +359,8 @@
     tracker.handle_report(report("i-1", 30, TargetState::Ready), now);
     let mut out = forward(&mut tracker, ForwardMode::Try, 1, 5_001, now);
     assert_eq!(out.to_target.len(), 1);
-    let back = bounced(caller_data(1, 1_001, 5_001, 100));
-    tracker.handle_target_packet(&back, &mut b"data".to_vec(), now, &mut out, |_| {});
+    let returned = bounced(caller_data(1, 1_001, 5_001, 100));
+    tracker.handle_target_packet(&returned, &mut b"data".to_vec(), now, &mut out, |_| {});
     assert_eq!(
         (out.statuses(), out.resets.len()),
         (vec![FlowStatus::NotOwner], 0),
@@ -449,7 +449,7 @@
     assert_eq!(tracker.waiting_count(), 1);
     now += 100 * MS;
     tracker.tick(now, &mut out);
-    assert_eq!(tracker.waiting_count(), 0, "given up by its caller");
+    assert_eq!(tracker.waiting_count(), 0, "abandoned by its caller");
 
     open_flow(&mut tracker, 2, 6_000, now);
     forward(&mut tracker, ForwardMode::Owner, 2, 6_001, now);
@@ -463,7 +463,7 @@
     );
     assert_eq!(tracker.waiting_count(), 0);
     forward(&mut tracker, ForwardMode::Owner, 2, 6_001, now);
-    assert_eq!(tracker.waiting_count(), 0, "a copy of the request");
+    assert_eq!(tracker.waiting_count(), 0, "a retransmitted request");
 
     open_flow(&mut tracker, 3, 7_000, now);
     forward(&mut tracker, ForwardMode::Owner, 3, 7_001, now);
@@ -562,17 +562,24 @@
 #[test]
 fn restart_after_announced_end_waits() {
     let now = Instant::now();
-    for told in [true, false] {
+    for announced in [true, false] {
         let mut tracker = ready_tracker(now);
         tracker.mark_target_ended(&mut Recorder::default());
-        if told {
+        if announced {
             assert_eq!(query(&mut tracker, 1, 5_001, now).statuses(), [FlowStatus::TargetEnded]);
         }
         assert!(tracker.handle_report(report("i-2", 1, TargetState::Ready), now + 100 * MS));
         let early = offer(&mut tracker, 2, false, now + 500 * MS);
-        let wait = [FlowStatus::Refused(Refusal::NoTarget)];
-        assert_eq!(early.statuses(), if told { &wait[..] } else { &[] }, "told {told}");
-        assert!(offer(&mut tracker, 3, false, now + 600 * MS).statuses().is_empty(), "told {told}");
+        let refused = [FlowStatus::Refused(Refusal::NoTarget)];
+        assert_eq!(
+            early.statuses(),
+            if announced { &refused[..] } else { &[] },
+            "announced {announced}"
+        );
+        assert!(
+            offer(&mut tracker, 3, false, now + 600 * MS).statuses().is_empty(),
+            "announced {announced}"
+        );
     }
 }
 
