--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -19,7 +19,7 @@
         site.take(&step.parse().unwrap()).await.unwrap();
     }
     // The suspended balancer's current watch has ended; its next one starts at a
-    // revision that is no longer in the history.
+    // compacted revision.
     "store forget".parse::<Action>().unwrap().take(&s).await.unwrap();
     site.take(&"thaw lb-0".parse().unwrap()).await.unwrap();
     fleet::in_force(&s, Duration::from_secs(5)).await.unwrap();
--- a/tests/config_relay.rs
+++ b/tests/config_relay.rs
@@ -42,25 +42,25 @@
     Relay::new(config::CONFIG_KEY, "gjw-a", Ipv4Addr::new(10, 1, 0, n), 100)
 }
 
-fn put(copy: &mut Snapshot, key: &str, value: Vec<u8>) {
-    let rev = copy.rev + 1;
-    copy.apply(rev, vec![Change::Put(Kv { key: key.into(), value, rev, lease: 0 })]);
+fn put(snapshot: &mut Snapshot, key: &str, value: Vec<u8>) {
+    let rev = snapshot.rev + 1;
+    snapshot.apply(rev, vec![Change::Put(Kv { key: key.into(), value, rev, lease: 0 })]);
 }
 
 /// Applies the transaction that `relay` has pending; returns the number of keys
 /// written.
-fn publish(copy: &mut Snapshot, relay: &Relay, routes: &Routes) -> usize {
-    let transaction = relay.pending_transaction(copy, routes).unwrap().unwrap_or_default();
+fn publish(snapshot: &mut Snapshot, relay: &Relay, routes: &Routes) -> usize {
+    let transaction = relay.pending_transaction(snapshot, routes).unwrap().unwrap_or_default();
     let n = transaction.puts.len();
-    transaction.puts.into_iter().for_each(|(key, value)| put(copy, &key, value));
+    transaction.puts.into_iter().for_each(|(key, value)| put(snapshot, &key, value));
     n
 }
 
 /// A store with a large configuration and no parts.
 fn large_config() -> Snapshot {
-    let mut copy = Snapshot::default();
-    put(&mut copy, config::CONFIG_KEY, vec![b' '; 1_000]);
-    copy
+    let mut snapshot = Snapshot::default();
+    put(&mut snapshot, config::CONFIG_KEY, vec![b' '; 1_000]);
+    snapshot
 }
 
 #[test]
@@ -77,38 +77,38 @@
 
 #[test]
 fn route_change_rewrites_one_part() {
-    let mut copy = large_config();
+    let mut snapshot = large_config();
     let mut all = routes(7, 2_200);
-    assert_eq!(publish(&mut copy, &relay_at(1), &all), PART_COUNT + 1);
-    assert_eq!(publish(&mut copy, &relay_at(1), &all), 0, "written once");
+    assert_eq!(publish(&mut snapshot, &relay_at(1), &all), PART_COUNT + 1);
+    assert_eq!(publish(&mut snapshot, &relay_at(1), &all), 0, "written once");
     all.version = 9;
     all.by_address.get_mut(&addr(5)).unwrap().request_timeout = Duration::from_secs(1);
-    assert_eq!(publish(&mut copy, &relay_at(1), &all), 2, "the part and the index");
+    assert_eq!(publish(&mut snapshot, &relay_at(1), &all), 2, "the part and the index");
     let mut s = steering();
-    SnapshotReader::default().apply_snapshot(&mut s, &copy);
+    SnapshotReader::default().apply_snapshot(&mut s, &snapshot);
     assert_eq!(s.routes(), Some(&all));
 }
 
 /// Guards against applying parts of two versions, which a listing read in pages may mix.
 #[test]
 fn mixed_versions_not_applied() {
-    let (mut copy, relay) = (large_config(), relay_at(1));
-    publish(&mut copy, &relay, &routes(7, 50));
-    let old = copy.clone();
-    publish(&mut copy, &relay, &routes(8, 60));
+    let (mut snapshot, relay) = (large_config(), relay_at(1));
+    publish(&mut snapshot, &relay, &routes(7, 50));
+    let old = snapshot.clone();
+    publish(&mut snapshot, &relay, &routes(8, 60));
     let (mut s, mut reader) = (steering(), SnapshotReader::default());
     reader.apply_snapshot(&mut s, &old);
     assert_eq!(s.config_version(), Some(7));
-    let mut mixed = copy.clone();
-    let index = relay::read_index(&copy).unwrap().0;
+    let mut mixed = snapshot.clone();
+    let index = relay::read_index(&snapshot).unwrap().0;
     let changed =
-        (0..PART_COUNT).map(part_key).find(|k| copy.keys[k.as_str()] != old.keys[k.as_str()]);
+        (0..PART_COUNT).map(part_key).find(|k| snapshot.keys[k.as_str()] != old.keys[k.as_str()]);
     let key = changed.unwrap();
     mixed.keys.insert(key.as_str().into(), old.keys[key.as_str()].clone());
     assert!(relay::consistent_parts(&mixed, &index).is_none());
     reader.apply_snapshot(&mut s, &mixed);
     assert_eq!((s.config_version(), s.routes().unwrap().by_address.len()), (Some(7), 50));
-    reader.apply_snapshot(&mut s, &copy);
+    reader.apply_snapshot(&mut s, &snapshot);
     assert_eq!((s.config_version(), s.routes().unwrap().by_address.len()), (Some(8), 60));
     // An older version is never applied again.
     reader.apply_snapshot(&mut s, &old);
@@ -117,41 +117,41 @@
 
 #[test]
 fn first_listed_balancer_relays() {
-    let mut copy = Snapshot::default();
-    put(&mut copy, config::CONFIG_KEY, vec![b' '; 99]);
-    assert!(!relay_at(1).should_relay(&copy), "too small");
-    let mut copy = large_config();
+    let mut snapshot = Snapshot::default();
+    put(&mut snapshot, config::CONFIG_KEY, vec![b' '; 99]);
+    assert!(!relay_at(1).should_relay(&snapshot), "too small");
+    let mut snapshot = large_config();
     let (first, second) = (relay_at(1), relay_at(2));
-    assert!(first.should_relay(&copy) && second.should_relay(&copy), "none is listed");
-    assert_eq!(second.narrow_prefix(&copy, Some(7)), None);
-    put(&mut copy, second.key(), Vec::new());
-    assert!(!first.should_relay(&copy) && second.should_relay(&copy), "one is");
-    assert_eq!(first.narrow_prefix(&copy, Some(7)), None, "it has written nothing yet");
-    publish(&mut copy, &second, &routes(7, 50));
-    assert_eq!(first.narrow_prefix(&copy, Some(7)), Some(SYSTEM_PREFIX));
+    assert!(first.should_relay(&snapshot) && second.should_relay(&snapshot), "none is listed");
+    assert_eq!(second.narrow_prefix(&snapshot, Some(7)), None);
+    put(&mut snapshot, second.key(), Vec::new());
+    assert!(!first.should_relay(&snapshot) && second.should_relay(&snapshot), "one is");
+    assert_eq!(first.narrow_prefix(&snapshot, Some(7)), None, "it has written nothing yet");
+    publish(&mut snapshot, &second, &routes(7, 50));
+    assert_eq!(first.narrow_prefix(&snapshot, Some(7)), Some(SYSTEM_PREFIX));
     assert_eq!(
-        first.narrow_prefix(&copy, Some(8)),
+        first.narrow_prefix(&snapshot, Some(8)),
         None,
         "the parts are older than what is in force"
     );
-    assert_eq!(second.narrow_prefix(&copy, Some(7)), None, "a relay follows everything");
+    assert_eq!(second.narrow_prefix(&snapshot, Some(7)), None, "a relay follows everything");
     // Both became relays at once: the one with the lower address stays.
-    put(&mut copy, first.key(), Vec::new());
-    assert!(first.should_relay(&copy) && !second.should_relay(&copy));
-    assert_eq!(second.narrow_prefix(&copy, Some(7)), None, "until its key is gone");
+    put(&mut snapshot, first.key(), Vec::new());
+    assert!(first.should_relay(&snapshot) && !second.should_relay(&snapshot));
+    assert_eq!(second.narrow_prefix(&snapshot, Some(7)), None, "until its key is gone");
     let other = Relay::new(config::CONFIG_KEY, "gjw-b", Ipv4Addr::new(10, 2, 0, 1), 100);
-    assert!(other.should_relay(&copy), "each data centre has its own");
+    assert!(other.should_relay(&snapshot), "each data centre has its own");
 }
 
 #[test]
 fn small_config_deletes_parts() {
-    let (mut copy, relay) = (large_config(), relay_at(1));
-    publish(&mut copy, &relay, &routes(7, 50));
-    put(&mut copy, config::CONFIG_KEY, vec![b' '; 10]);
-    let transaction = relay.pending_transaction(&copy, &routes(8, 1)).unwrap().unwrap();
+    let (mut snapshot, relay) = (large_config(), relay_at(1));
+    publish(&mut snapshot, &relay, &routes(7, 50));
+    put(&mut snapshot, config::CONFIG_KEY, vec![b' '; 10]);
+    let transaction = relay.pending_transaction(&snapshot, &routes(8, 1)).unwrap().unwrap();
     assert_eq!((transaction.puts.len(), transaction.deletes.len()), (0, PART_COUNT + 1));
     assert!(transaction.deletes.iter().any(|key| key == INDEX_KEY));
-    assert_eq!(relay.narrow_prefix(&copy, Some(7)), None);
+    assert_eq!(relay.narrow_prefix(&snapshot, Some(7)), None);
 }
 
 /// A store whose relay dies before it publishes a changed configuration.
@@ -197,11 +197,11 @@
         refresh: std::sync::Arc::default(),
     };
     let narrow_prefix =
-        |copy: &Snapshot| copy.keys.contains_key(&*store.relay).then_some(SYSTEM_PREFIX);
+        |snapshot: &Snapshot| snapshot.keys.contains_key(&*store.relay).then_some(SYSTEM_PREFIX);
     let values = RefCell::new(Vec::new());
     let run = follow(&source, narrow_prefix, |event| {
-        if let MirrorEvent::Updated(copy) = event {
-            values.borrow_mut().push(copy.keys[config::CONFIG_KEY].value.clone());
+        if let MirrorEvent::Updated(snapshot) = event {
+            values.borrow_mut().push(snapshot.keys[config::CONFIG_KEY].value.clone());
         }
     });
     let _ = tokio::time::timeout(300 * MS, run).await;
@@ -259,27 +259,27 @@
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_jujubepost"));
     let dir = std::env::temp_dir().join(format!("jujubepost-relay-{}", std::process::id()));
     let plan = Plan { base: 28_500, balancers: 3, targets: 1, idle_routes: 300, ..Plan::default() };
-    let mut t = Trial::start(&exe, &dir, Plan { relay_kib: 16, ..plan }).await.unwrap();
+    let mut trial = Trial::start(&exe, &dir, Plan { relay_kib: 16, ..plan }).await.unwrap();
     let all: Vec<(u8, u8)> = (0..2).flat_map(|z| (0..3).map(move |n| (z, n))).collect();
-    wait_following(&t, 1, &all, 4).await;
+    wait_following(&trial, 1, &all, 4).await;
     for version in 2..5 {
-        t.configure(version).await.unwrap();
-        assert_eq!(wait_in_force(&t, version, &all).await, 4);
+        trial.configure(version).await.unwrap();
+        assert_eq!(wait_in_force(&trial, version, &all).await, 4);
     }
     let mut relay = None;
     for (z, n) in &all {
-        if inspect(&t, *z, *n).await.is_some_and(|(_, parts)| !parts) {
+        if inspect(&trial, *z, *n).await.is_some_and(|(_, parts)| !parts) {
             relay = Some((*z, *n));
         }
     }
     let (z, n) = relay.expect("a relay");
     let label = format!("entry-{z}-{n}");
-    t.kill(&label);
-    t.configure(5).await.unwrap();
+    trial.kill(&label);
+    trial.configure(5).await.unwrap();
     let left: Vec<(u8, u8)> = all.iter().copied().filter(|b| *b != (z, n)).collect();
-    wait_in_force(&t, 5, &left).await;
-    t.launch(&label).unwrap();
-    wait_following(&t, 5, &all, 4).await;
-    assert_eq!(t.down().await, Vec::<String>::new(), "processes that did not stop in time");
+    wait_in_force(&trial, 5, &left).await;
+    trial.launch(&label).unwrap();
+    wait_following(&trial, 5, &all, 4).await;
+    assert_eq!(trial.down().await, Vec::<String>::new(), "processes that did not stop in time");
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -46,13 +46,13 @@
 #[ntex::test]
 async fn no_failures_without_faults() {
     let plan = Plan { base: 26_000, secs: 3, ..Plan::default() };
-    let mut t = start_trial("calm", plan).await;
-    let r = t
-        .play(async |t: &mut Trial| {
+    let mut trial = start_trial("calm", plan).await;
+    let r = trial
+        .play(async |trial: &mut Trial| {
             tokio::time::sleep(1_500 * MS).await;
             // Metrics and state reports while the load runs.
-            let entry = t.inspect(true, 0, 0);
-            let sidecar = t.inspect(false, 0, 0);
+            let entry = trial.inspect(true, 0, 0);
+            let sidecar = trial.inspect(false, 0, 0);
             let text = get(format!("http://{sidecar}/metrics")).await;
             assert!(text.contains("jujubepost_answer_time_seconds_bucket"), "{text}");
             let text = get(format!("http://{entry}/metrics")).await;
@@ -78,63 +78,63 @@
     assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
     assert!(r.served > 300, "{r}");
-    stop_trial("calm", t).await;
+    stop_trial("calm", trial).await;
 }
 
 /// Restarting balancers and agents in turn, and draining a target, breaks no flow.
 #[ntex::test]
 async fn planned_work_breaks_no_flow() {
     let plan = Plan { base: 26_100, secs: 12, ..Plan::default() };
-    let mut t = start_trial("planned", plan).await;
-    let r = t
-        .play(async |t: &mut Trial| {
+    let mut trial = start_trial("planned", plan).await;
+    let r = trial
+        .play(async |trial: &mut Trial| {
             for label in ["entry-0-0", "sidecar-0-1", "entry-1-1", "sidecar-1-0"] {
                 tokio::time::sleep(500 * MS).await;
-                t.stop(label).await;
-                t.launch(label)?;
+                trial.stop(label).await;
+                trial.launch(label)?;
             }
-            t.drain("meter-2");
+            trial.drain("meter-2");
             Ok(())
         })
         .await
         .unwrap();
     assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    stop_trial("planned", t).await;
+    stop_trial("planned", trial).await;
 }
 
 /// Flows survive killed and suspended processes as long as their targets run.
 #[ntex::test]
 async fn flows_survive_killed_and_frozen() {
     let plan = Plan { base: 26_200, secs: 10, hash: Hash::Steady, ..Plan::default() };
-    let mut t = start_trial("killed", plan).await;
-    let r = t
-        .play(async |t: &mut Trial| {
+    let mut trial = start_trial("killed", plan).await;
+    let r = trial
+        .play(async |trial: &mut Trial| {
             for label in ["entry-0-1", "sidecar-0-0"] {
                 tokio::time::sleep(700 * MS).await;
-                t.kill(label);
+                trial.kill(label);
                 tokio::time::sleep(300 * MS).await;
-                t.launch(label)?;
+                trial.launch(label)?;
             }
-            t.send("sidecar-1-1", Signal::SIGSTOP);
+            trial.send("sidecar-1-1", Signal::SIGSTOP);
             tokio::time::sleep(1_000 * MS).await;
-            t.send("sidecar-1-1", Signal::SIGCONT);
+            trial.send("sidecar-1-1", Signal::SIGCONT);
             // All agents of zone 0 at once: only the balancers still know the flows.
             let agents: Vec<_> = (0..3).map(|n| format!("sidecar-0-{n}")).collect();
-            agents.iter().for_each(|label| t.kill(label));
+            agents.iter().for_each(|label| trial.kill(label));
             tokio::time::sleep(300 * MS).await;
-            agents.iter().try_for_each(|label| t.launch(label))?;
+            agents.iter().try_for_each(|label| trial.launch(label))?;
             Ok(())
         })
         .await
         .unwrap();
     assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    stop_trial("killed", t).await;
+    stop_trial("killed", trial).await;
 }
 
-async fn set_store_faults(t: &Trial, faults: &Faults) {
-    set_faults_at(t.store(), faults).await;
+async fn set_store_faults(trial: &Trial, faults: &Faults) {
+    set_faults_at(trial.store(), faults).await;
 }
 
 async fn set_faults_at(store: std::net::SocketAddrV4, faults: &Faults) {
@@ -143,19 +143,19 @@
     assert!(client.post(url).send_json(faults).await.unwrap().status().is_success());
 }
 
-async fn store_client(t: &Trial) -> kv::Client {
-    kv::Client::new(t.store().into(), 1_000 * MS, 1_000 * MS).await.unwrap()
+async fn store_client(trial: &Trial) -> kv::Client {
+    kv::Client::new(trial.store().into(), 1_000 * MS, 1_000 * MS).await.unwrap()
 }
 
 /// Waits until `balancers` balancers in each zone have `version` of the configuration in
 /// force; fails after 3 s.
-async fn wait_in_force(t: &Trial, balancers: u8, version: u64) -> anyhow::Result<()> {
+async fn wait_in_force(trial: &Trial, balancers: u8, version: u64) -> anyhow::Result<()> {
     let start = Instant::now();
     let all: Vec<_> = (0..2).flat_map(|z| (0..balancers).map(move |n| (z, n))).collect();
     loop {
         let mut versions = Vec::new();
         for (z, n) in &all {
-            let state = get(format!("http://{}/beliefs", t.inspect(true, *z, *n))).await;
+            let state = get(format!("http://{}/beliefs", trial.inspect(true, *z, *n))).await;
             let state: serde_json::Value = serde_json::from_str(&state)?;
             versions.push(state["version"].as_u64());
         }
@@ -167,33 +167,33 @@
     }
 }
 
-/// After an outage longer than registrations live, with lost history and responses, a
+/// After an outage longer than registrations are valid, with lost history and responses, a
 /// change is in force within 3 s.
 #[ntex::test]
 async fn change_applies_after_store_outage() {
     let plan = Plan { base: 26_300, secs: 14, ..Plan::default() };
-    let mut t = start_trial("store", plan).await;
-    let r = t
-        .play(async |t: &mut Trial| {
-            set_store_faults(t, &Faults { outage: true, ..Faults::default() }).await;
+    let mut trial = start_trial("store", plan).await;
+    let r = trial
+        .play(async |trial: &mut Trial| {
+            set_store_faults(trial, &Faults { outage: true, ..Faults::default() }).await;
             tokio::time::sleep(4_000 * MS).await;
             set_store_faults(
-                t,
+                trial,
                 &Faults { clear_history: true, lost_responses: 2, ..Faults::default() },
             )
             .await;
-            let client = store_client(t).await;
+            let client = store_client(trial).await;
             let old = client.get(config::CONFIG_KEY).await?.unwrap();
             let newer = String::from_utf8(old.value)?.replace("\"version\":1", "\"version\":2");
             // The response is lost, but the write takes effect.
             let _ = client.put(config::CONFIG_KEY, newer.as_bytes(), 0).await;
-            wait_in_force(t, 2, 2).await
+            wait_in_force(trial, 2, 2).await
         })
         .await
         .unwrap();
     assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    stop_trial("store", t).await;
+    stop_trial("store", trial).await;
 }
 
 /// Guards against late changes on balancers that were suspended: one change is made
@@ -202,26 +202,26 @@
 async fn change_applies_after_freeze() {
     let balancers = 8;
     let plan = Plan { base: 27_400, balancers, ..Plan::default() };
-    let t = start_trial("freeze", plan).await;
-    let entries: Vec<_> = t.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
+    let trial = start_trial("freeze", plan).await;
+    let entries: Vec<_> = trial.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
     for version in [2, 4] {
-        entries.iter().for_each(|label| t.send(label, Signal::SIGSTOP));
+        entries.iter().for_each(|label| trial.send(label, Signal::SIGSTOP));
         tokio::time::sleep(500 * MS).await;
-        t.configure(version).await.unwrap();
+        trial.configure(version).await.unwrap();
         tokio::time::sleep(4_500 * MS).await;
-        entries.iter().for_each(|label| t.send(label, Signal::SIGCONT));
+        entries.iter().for_each(|label| trial.send(label, Signal::SIGCONT));
         tokio::time::sleep(50 * MS).await;
-        t.configure(version + 1).await.unwrap();
-        wait_in_force(&t, balancers, version + 1).await.unwrap();
+        trial.configure(version + 1).await.unwrap();
+        wait_in_force(&trial, balancers, version + 1).await.unwrap();
     }
     let mut paused_ms = 0.0;
     for (z, n) in (0..2).flat_map(|z| (0..balancers).map(move |n| (z, n))) {
-        let text = get(format!("http://{}/metrics", t.inspect(true, z, n))).await;
+        let text = get(format!("http://{}/metrics", trial.inspect(true, z, n))).await;
         assert!(fact_value(&text, "store_age_ms") < 4_000.0, "{text}");
         paused_ms += fact_value(&text, "paused_ms");
     }
     assert!(paused_ms > 0.0, "no balancer noticed that it was suspended");
-    stop_trial("freeze", t).await;
+    stop_trial("freeze", trial).await;
 }
 
 /// Agents register again if their keys are deleted while their leases are valid, also
@@ -229,32 +229,32 @@
 #[ntex::test]
 async fn deleted_registrations_restored() {
     let plan = Plan { base: 26_400, secs: 2, targets: 1, ..Plan::default() };
-    let mut t = start_trial("taken", plan).await;
+    let mut trial = start_trial("deleted", plan).await;
     let balancers = ["entry-0-0", "entry-0-1", "entry-1-0", "entry-1-1"];
-    balancers.iter().for_each(|label| t.kill(label));
-    let client = store_client(&t).await;
+    balancers.iter().for_each(|label| trial.kill(label));
+    let client = store_client(&trial).await;
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     assert_eq!(agents.len(), 2);
     for kv in &agents {
         client.delete(&kv.key).await.unwrap();
     }
-    balancers.iter().try_for_each(|label| t.launch(label)).unwrap();
+    balancers.iter().try_for_each(|label| trial.launch(label)).unwrap();
     let start = Instant::now();
     while client.list("jujubepost/agents/").await.unwrap().1.len() < 2 {
         assert!(start.elapsed() < Duration::from_secs(6));
         tokio::time::sleep(100 * MS).await;
     }
     tokio::time::sleep(1_000 * MS).await;
-    let r = t.play(async |_: &mut Trial| Ok(())).await.unwrap();
+    let r = trial.play(async |_: &mut Trial| Ok(())).await.unwrap();
     assert_isolated_and_run_once(&r);
     assert_eq!((r.failed, r.broken), (0, 0), "{r}");
-    stop_trial("taken", t).await;
+    stop_trial("deleted", trial).await;
 }
 
 /// Drains target `meter-1` and waits until its process has ended; its agent runs on.
-async fn drain_target(t: &Trial) {
-    t.drain("meter-1");
-    let agent = t.inspect(false, 0, 1);
+async fn drain_target(trial: &Trial) {
+    trial.drain("meter-1");
+    let agent = trial.inspect(false, 0, 1);
     let start = Instant::now();
     loop {
         let state = get(format!("http://{agent}/beliefs")).await;
@@ -272,20 +272,20 @@
 #[ntex::test]
 async fn registration_removed_after_outage() {
     let plan = Plan { base: 28_600, targets: 2, ..Plan::default() };
-    let mut t = start_trial("removed", plan).await;
-    let client = store_client(&t).await;
-    drain_target(&t).await;
-    set_store_faults(&t, &Faults { outage: true, ..Faults::default() }).await;
-    let store_addr = t.store();
+    let mut trial = start_trial("removed", plan).await;
+    let client = store_client(&trial).await;
+    drain_target(&trial).await;
+    set_store_faults(&trial, &Faults { outage: true, ..Faults::default() }).await;
+    let store_addr = trial.store();
     let end_outage = async {
         tokio::time::sleep(1_500 * MS).await;
         set_faults_at(store_addr, &Faults::default()).await;
     };
-    futures_util::join!(t.stop("sidecar-0-1"), end_outage);
+    futures_util::join!(trial.stop("sidecar-0-1"), end_outage);
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     let left: Vec<_> = agents.iter().map(|kv| &*kv.key).collect();
     assert_eq!(left.len(), 3, "{left:?}");
-    stop_trial("removed", t).await;
+    stop_trial("removed", trial).await;
 }
 
 /// Guards against an agent that registers without a running target: if it then
@@ -293,15 +293,15 @@
 #[ntex::test]
 async fn not_registered_without_target() {
     let plan = Plan { base: 28_700, targets: 2, ..Plan::default() };
-    let mut t = start_trial("unlisted", plan).await;
-    let client = store_client(&t).await;
-    drain_target(&t).await;
-    t.kill("sidecar-0-1");
+    let mut trial = start_trial("unlisted", plan).await;
+    let client = store_client(&trial).await;
+    drain_target(&trial).await;
+    trial.kill("sidecar-0-1");
     let (_, agents) = client.list("jujubepost/agents/").await.unwrap();
     for kv in &agents {
         client.delete(&kv.key).await.unwrap();
     }
-    t.launch("sidecar-0-1").unwrap();
+    trial.launch("sidecar-0-1").unwrap();
     let start = Instant::now();
     let mut listed = Vec::new();
     while start.elapsed() < 5_000 * MS {
@@ -311,7 +311,7 @@
         assert!(listed.len() <= 3, "{listed:?}");
     }
     assert_eq!(listed.len(), 3, "the others register again: {listed:?}");
-    stop_trial("unlisted", t).await;
+    stop_trial("unlisted", trial).await;
 }
 
 /// Guards against a client that does not recover from a store that accepts connections
--- a/tests/ownership_handover.rs
+++ b/tests/ownership_handover.rs
@@ -58,8 +58,8 @@
     assert_eq!(hints_sent(&tracker), [(agent(2), sent(1, 1)), (agent(3), sent(2, 3))]);
 }
 
-/// A restarted agent, which has no flow state, learns that it owns a flow when the agent
-/// that was told hands it back.
+/// A restarted agent, which has no flow state, learns which flows it owns when the agent
+/// that received its hints returns them.
 #[test]
 fn owner_restored_after_restart() {
     let now = Instant::now();
@@ -71,18 +71,18 @@
     }
     let mut out = Recorder::default();
     other.send_owner_hints(agent(2), &mut out);
-    let mut next = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
-    next.handle_report(report("i-1", 7, TargetState::Ready), now);
+    let mut restarted = FlowTracker::new(SERVICE.into(), Duration::from_secs(60));
+    restarted.handle_report(report("i-1", 7, TargetState::Ready), now);
     for (to, m, _) in &out.messages {
         assert_eq!(*to, agent(1));
-        send(&mut next, &m.to_message(), now);
+        send(&mut restarted, &m.to_message(), now);
     }
     let question = Question { flow: flow(1), ack: Some(5_001) };
-    let ask = Message::Query(Query { service: SERVICE, questions: vec![question] });
-    let answers = send(&mut next, &ask, now).answers();
+    let query = Message::Query(Query { service: SERVICE, questions: vec![question] });
+    let answers = send(&mut restarted, &query, now).answers();
     assert_eq!((answers[0].status, answers[0].hint), (FlowStatus::Unverified, Some(agent(1))));
     // No hint is sent to the agent itself, or for flows of an ended target.
-    assert!(hints_sent(&next).is_empty());
+    assert!(hints_sent(&restarted).is_empty());
     tracker.mark_target_ended(&mut Recorder::default());
     assert!(hints_sent(&tracker).is_empty());
 }
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -10,27 +10,27 @@
 
 #[test]
 fn duplicate_delivered_once() {
-    let mut r = ReorderBuffer::new(1);
-    r.insert(1, 'a');
-    r.insert(1, 'b');
-    assert_eq!(r.pop(), Some('a'));
-    r.insert(1, 'c');
-    assert_eq!(r.pop(), None);
-    assert_eq!(r.next_seq(), 2);
+    let mut buffer = ReorderBuffer::new(1);
+    buffer.insert(1, 'a');
+    buffer.insert(1, 'b');
+    assert_eq!(buffer.pop(), Some('a'));
+    buffer.insert(1, 'c');
+    assert_eq!(buffer.pop(), None);
+    assert_eq!(buffer.next_seq(), 2);
 }
 
 #[test]
 fn resend_backs_off() {
     let t0 = Instant::now();
-    let mut w = SendWindow::new(RTO, t0);
-    w.push(1, 'a', t0);
-    assert_eq!(w.resend(t0).count(), 0);
-    assert_eq!(w.resend(t0 + RTO).count(), 1);
-    assert_eq!(w.next_resend(), Some(t0 + RTO * 3));
-    assert_eq!(w.stalled_for(t0 + RTO), RTO);
-    w.ack(2, t0 + RTO);
-    assert!(w.is_empty());
-    assert_eq!((w.next_resend(), w.stalled_for(t0 + RTO * 9)), (None, Duration::ZERO));
+    let mut window = SendWindow::new(RTO, t0);
+    window.push(1, 'a', t0);
+    assert_eq!(window.resend(t0).count(), 0);
+    assert_eq!(window.resend(t0 + RTO).count(), 1);
+    assert_eq!(window.next_resend(), Some(t0 + RTO * 3));
+    assert_eq!(window.stalled_for(t0 + RTO), RTO);
+    window.ack(2, t0 + RTO);
+    assert!(window.is_empty());
+    assert_eq!((window.next_resend(), window.stalled_for(t0 + RTO * 9)), (None, Duration::ZERO));
 }
 
 /// A segment is sent at least eight times within 3 s, so that loss on the network does
@@ -38,11 +38,11 @@
 #[test]
 fn resends_often_before_give_up() {
     let start = Instant::now();
-    let mut w = SendWindow::new(Duration::from_millis(200), start);
-    w.push(1, "a", start);
+    let mut window = SendWindow::new(Duration::from_millis(200), start);
+    window.push(1, "a", start);
     let mut copies = 1;
-    while let Some(due) = w.next_resend().filter(|at| *at < start + Duration::from_secs(3)) {
-        copies += w.resend(due).count();
+    while let Some(due) = window.next_resend().filter(|at| *at < start + Duration::from_secs(3)) {
+        copies += window.resend(due).count();
     }
     assert!(copies >= 8, "{copies}");
 }
@@ -52,35 +52,36 @@
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = Instant::now();
-        let (mut w, mut r) = (SendWindow::new(RTO, now), ReorderBuffer::new(1));
-        let mut wire: Vec<(u32, u32)> = Vec::new();
-        let (mut sent, mut got) = (0, Vec::new());
-        while got.len() < 300 {
+        let (mut window, mut buffer) = (SendWindow::new(RTO, now), ReorderBuffer::new(1));
+        // Sequence numbers and payloads that are in transit.
+        let mut in_flight: Vec<(u32, u32)> = Vec::new();
+        let (mut sent, mut received) = (0, Vec::new());
+        while received.len() < 300 {
             now += Duration::from_millis(10);
-            if sent < 300 && !w.is_full() {
+            if sent < 300 && !window.is_full() {
                 sent += 1;
-                w.push(sent, (sent, sent), now);
-                wire.push((sent, sent));
+                window.push(sent, (sent, sent), now);
+                in_flight.push((sent, sent));
             }
-            wire.extend(w.resend(now).copied());
+            in_flight.extend(window.resend(now).copied());
             for _ in 0..rng.random_range(0..4) {
-                if wire.is_empty() {
+                if in_flight.is_empty() {
                     break;
                 }
-                let (seq, segment) = wire.swap_remove(rng.random_range(0..wire.len()));
+                let (seq, segment) = in_flight.swap_remove(rng.random_range(0..in_flight.len()));
                 match rng.random_range(0..10) {
                     0 => {}
-                    1 => wire.extend([(seq, segment); 2]),
-                    _ => r.insert(seq, segment),
+                    1 => in_flight.extend([(seq, segment); 2]),
+                    _ => buffer.insert(seq, segment),
                 }
             }
-            while let Some(segment) = r.pop() {
-                got.push(segment);
+            while let Some(segment) = buffer.pop() {
+                received.push(segment);
             }
             if rng.random_range(0..3) > 0 {
-                w.ack(r.next_seq(), now);
+                window.ack(buffer.next_seq(), now);
             }
         }
-        assert!(got.iter().copied().eq(1..=300), "seed {seed}");
+        assert!(received.iter().copied().eq(1..=300), "seed {seed}");
     }
 }
--- a/tests/tracker.rs
+++ b/tests/tracker.rs
@@ -593,20 +593,20 @@
     forward(&mut tracker, ForwardMode::Owner, 1, 5_001, now);
     let mut out = Recorder::default();
     let end = now + 1_900 * MS;
-    let fin = |seg: jujubepost::flow::Segment| jujubepost::flow::Segment {
+    let with_fin = |seg: jujubepost::flow::Segment| jujubepost::flow::Segment {
         flags: jujubepost::flow::Flags { fin: true, ..seg.flags },
         ..seg
     };
     tracker.handle_target_packet(
-        &fin(target_data(1, 5_001, 10)),
+        &with_fin(target_data(1, 5_001, 10)),
         &mut b"answer".to_vec(),
         end,
         &mut out,
         |_| {},
     );
     let m = Message::Forward { service: SERVICE, mode: ForwardMode::Owner };
-    let last = fin(caller_data(1, 1_101, 5_012, 0));
-    tracker.handle_message(balancer(), &m, Some(&last), b"fin", end, &mut out);
+    let final_ack = with_fin(caller_data(1, 1_101, 5_012, 0));
+    tracker.handle_message(balancer(), &m, Some(&final_ack), b"fin", end, &mut out);
     for ms in [150, 1_000, 3_000] {
         tracker.tick(end + ms * MS, &mut out);
         assert_eq!(query(&mut tracker, 1, 5_012, end).statuses(), [FlowStatus::Held], "{ms} ms");
