--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -1,5 +1,5 @@
 //! A balancer suspended while the store discards the changes it missed: it lists the
-//! keys again and applies the newest orders.
+//! keys again and applies the newest configuration.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn relists_after_compaction() {
-    let mut site = common::start("compact", 23_500, 2, 1, 0).await;
+    let mut site = common::start_site("compact", 23_500, 2, 1, 0).await;
     let s = site.settings.clone();
     let steps =
         ["freeze lb-0", "limit meter 77", "limit meter 78", "store forget", "limit meter 79"];
@@ -19,7 +19,7 @@
         site.apply(&step.parse().unwrap()).await.unwrap();
     }
     // The suspended balancer's current watch has ended; its next one starts at a
-    // revision that is no longer in the history.
+    // compacted revision.
     "store forget".parse::<Action>().unwrap().apply(&s).await.unwrap();
     site.apply(&"thaw lb-0".parse().unwrap()).await.unwrap();
     fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap();
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -64,7 +64,7 @@
 
 #[ntex::test]
 async fn changed_limit_is_in_force_on_agents() {
-    let site = common::start("limit", 25500, 2, 1, 0).await;
+    let site = common::start_site("limit", 25500, 2, 1, 0).await;
     let s = site.settings.clone();
     assert_eq!(count_answered(&s, 2).await, (10, 0));
     set_flow_limit(&s, 2).await;
@@ -74,7 +74,7 @@
 
 #[ntex::test]
 async fn processes_started_in_outage_use_latest_config() {
-    let mut site = common::start("joins", 26000, 2, 1, 0).await;
+    let mut site = common::start_site("joins", 26000, 2, 1, 0).await;
     let s = site.settings.clone();
     set_flow_limit(&s, 2).await;
     fleet::wait_in_force(&s, IN_FORCE_TIMEOUT).await.unwrap();
--- a/tests/lossy.rs
+++ b/tests/lossy.rs
@@ -9,7 +9,7 @@
 use jujubepost::bench::{self, Load};
 
 async fn serves_despite(name: &str, base: u16, faults: Faults) {
-    let site = common::start(name, base, 3, 3, 2).await;
+    let site = common::start_site(name, base, 3, 3, 2).await;
     let s = site.settings.clone();
     let fabric = Connection::connect(s.fabric.addr, Duration::from_secs(1)).await.unwrap();
     fabric.set_faults(faults).await.unwrap();
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -15,9 +15,14 @@
 const MAX_LINK_SHARE: f64 = 0.1;
 
 fn run(p: &Pattern, seed: u64) -> Stats {
-    let t = simulate(p, &Policy::default(), seed);
-    assert_eq!((t.broken, t.misrouted, t.duplicates), (0, 0, 0), "{} seed {seed}", p.name);
-    t
+    let stats = simulate(p, &Policy::default(), seed);
+    assert_eq!(
+        (stats.broken, stats.misrouted, stats.duplicates),
+        (0, 0, 0),
+        "{} seed {seed}",
+        p.name
+    );
+    stats
 }
 
 /// Each class of requests reaches the goal under balancer churn at high load.
@@ -25,8 +30,8 @@
 fn each_class_meets_goal() {
     let p = Pattern::by_name("churn_dense").unwrap();
     for seed in 1..=3 {
-        let t = run(&p, seed);
-        for (n, class) in t.classes.iter().enumerate() {
+        let stats = run(&p, seed);
+        for (n, class) in stats.classes.iter().enumerate() {
             assert!(
                 class.utility() >= MIN_VALUE_SHARE,
                 "seed {seed} class {n}: {}",
@@ -48,7 +53,7 @@
         (Change::JoinBalancers, Duration::ZERO),
     ];
     for (cpu, mbps) in [(0.12, 10.0), (0.5, 10.0)] {
-        for (change, lasts) in changes {
+        for (change, duration) in changes {
             let site = Site { balancer_cpu: cpu, load_duration: 16_000 * MS, ..Site::dense() };
             let p = Pattern {
                 name: "churn_ends",
@@ -56,9 +61,13 @@
                 site: site.with_link_mbps(mbps),
                 changes: vec![(3_000 * MS, change)],
             };
-            let t = run(&p, 1);
-            let back = t.served_ratio_between(5_000 * MS + lasts, p.site.load_duration);
-            assert!(back >= 0.99, "{cpu} of a core, {mbps} Mbit/s, {change:?}: {back}");
+            let stats = run(&p, 1);
+            let served_share =
+                stats.served_ratio_between(5_000 * MS + duration, p.site.load_duration);
+            assert!(
+                served_share >= 0.99,
+                "{cpu} of a core, {mbps} Mbit/s, {change:?}: {served_share}"
+            );
         }
     }
 }
@@ -67,9 +76,9 @@
 #[test]
 fn messages_use_small_share_of_links() {
     let p = Pattern::by_name("churn_dense").unwrap();
-    let t = run(&p, 1);
+    let stats = run(&p, 1);
     let balancers = f64::from(p.site.balancers) * f64::from(p.site.zones);
-    let carried = p.site.link_mbps * 125_000.0 * balancers * p.site.load_duration.as_secs_f64();
-    let part = t.message_bytes as f64 / carried;
-    assert!(part <= MAX_LINK_SHARE, "{part} of the links");
+    let link_bytes = p.site.link_mbps * 125_000.0 * balancers * p.site.load_duration.as_secs_f64();
+    let share = stats.message_bytes as f64 / link_bytes;
+    assert!(share <= MAX_LINK_SHARE, "{share} of the links");
 }
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -10,7 +10,7 @@
 
 #[ntex::test]
 async fn one_of_two_concurrent_changes_succeeds() {
-    let site = common::start("race", 21600, 0, 0, 0).await;
+    let site = common::start_site("race", 21600, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
@@ -30,7 +30,7 @@
 
 #[ntex::test]
 async fn write_with_lost_response_is_confirmed() {
-    let site = common::start("lost", 21700, 0, 0, 0).await;
+    let site = common::start_site("lost", 21700, 0, 0, 0).await;
     let s = &site.settings;
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
     let keys = KeyLayout::new(s.store.prefix.clone());
--- a/tests/store_outage.rs
+++ b/tests/store_outage.rs
@@ -1,5 +1,5 @@
-//! An outage of the key-value service longer than the leases: balancers keep routing by
-//! their last view, no request fails, and all targets are announced again afterwards.
+//! A store outage longer than the leases: balancers keep routing by their last view, no
+//! request fails, and all targets are registered again afterwards.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[ntex::test]
 async fn requests_served_during_outage() {
-    let site = common::start("outage", 22500, 2, 3, 2).await;
+    let site = common::start_site("outage", 22500, 2, 3, 2).await;
     let s = site.settings.clone();
     ctl::set_store_faults(&s, &Faults { outage: true, ..Faults::default() }).await.unwrap();
     // Longer than the lease of 1 s in the test site.
