--- a/examples/patterns.rs
+++ b/examples/patterns.rs
@@ -31,7 +31,7 @@
             stats.messages_per_flow(),
             stats.broken,
             stats.misrouted,
-            stats.duplicates,
+            stats.duplicated,
             start.elapsed().as_secs_f64(),
         );
         let worth: Vec<String> =
--- a/examples/view.rs
+++ b/examples/view.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of a balancer's view as targets and profiles grow: the time of the
 //! first build and of an update after one change, and the memory of the view and the
-//! copy of the store's keys. One process, no network.
+//! snapshot of the store's keys. One process, no network.
 //!
 //! Run: `cargo run --release --example view`.
 
@@ -25,9 +25,9 @@
 const SERVICES: [Service; 4] =
     [Service::Meter, Service::Fieldlog, Service::Calculadora, Service::Validador];
 
-fn insert(copy: &mut KeyMap, key: String, value: Vec<u8>) {
+fn insert(snapshot: &mut KeyMap, key: String, value: Vec<u8>) {
     let key: Arc<str> = key.into();
-    copy.insert(key.clone(), Kv { key, value, rev: 1, lease: 0 });
+    snapshot.insert(key.clone(), Kv { key, value, rev: 1, lease: 0 });
 }
 
 fn service(i: u32) -> Service {
@@ -36,7 +36,7 @@
 
 /// Keys of a store with `targets` targets and their profiles.
 fn store_keys(keys: &KeyLayout, targets: u32) -> KeyMap {
-    let mut copy = BTreeMap::new();
+    let mut snapshot = BTreeMap::new();
     for i in 0..targets {
         let target = record::Target {
             name: format!("t-{i}").into(),
@@ -45,7 +45,7 @@
             agent: SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 7_500)),
             stopping: false,
         };
-        insert(&mut copy, keys.target(&target.name), serde_json::to_vec(&target).unwrap());
+        insert(&mut snapshot, keys.target(&target.name), serde_json::to_vec(&target).unwrap());
     }
     for i in 0..targets / TARGETS_PER_PROFILE {
         let name = format!("p-{i}");
@@ -58,9 +58,9 @@
             policy: Policy::LeastLoaded,
         };
         let value = serde_json::to_vec(&record::Profile { spec, write_id: 1 }).unwrap();
-        insert(&mut copy, keys.profile(&name), value);
+        insert(&mut snapshot, keys.profile(&name), value);
     }
-    copy
+    snapshot
 }
 
 fn rss_kib() -> u64 {
@@ -74,11 +74,11 @@
     println!("targets profiles first_ms change_ms copy_and_view_KiB");
     for targets in TARGET_COUNTS {
         let before = rss_kib();
-        let mut copy = store_keys(&keys, targets);
+        let mut snapshot = store_keys(&keys, targets);
         let registry = TargetRegistry::new(Duration::from_secs(6), Duration::from_secs(300));
         let mut builder = ViewBuilder::new(keys.clone(), registry);
         let start = Instant::now();
-        let view = builder.build(&copy, start);
+        let view = builder.build(&snapshot, start);
         let first_ms = start.elapsed().as_secs_f64() * 1_000.0;
         let memory_kib = rss_kib().saturating_sub(before);
         // Alternately removes a target and changes a profile.
@@ -86,12 +86,12 @@
         let mut update_time = Duration::ZERO;
         for i in 0..UPDATES {
             if i % 2 == 0 {
-                removed.extend(copy.remove(&*keys.target(&format!("t-{i}"))));
-            } else if let Some(kv) = copy.get_mut(&*keys.profile(&format!("p-{i}"))) {
+                removed.extend(snapshot.remove(&*keys.target(&format!("t-{i}"))));
+            } else if let Some(kv) = snapshot.get_mut(&*keys.profile(&format!("p-{i}"))) {
                 kv.rev += 1;
             }
             let start = Instant::now();
-            let _ = builder.build(&copy, start);
+            let _ = builder.build(&snapshot, start);
             update_time += start.elapsed();
         }
         let update_ms = update_time.as_secs_f64() * 1_000.0 / f64::from(UPDATES);
--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -63,7 +63,7 @@
         res.with_context(|| format!("admin: fetching the readiness of {}", self.addr))
     }
 
-    /// Fetches the process's copy of the store's keys.
+    /// Fetches the process's snapshot of the store's keys.
     ///
     /// # Errors
     ///
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! Remote procedure calls between the processes of a site, over `tarpc`: status
-//! and counters, readiness, fault injection, and a copy of the store's keys for
+//! and counters, readiness, fault injection, and a snapshot of the store's keys for
 //! processes that start while the store is down.
 //!
 //! The server listens on TCP, at the address and port that the process uses for
@@ -28,7 +28,7 @@
     async fn status() -> Status;
     /// Returns whether the process accepts new flows.
     async fn ready() -> bool;
-    /// Returns the process's copy of the store's keys.
+    /// Returns the process's snapshot of the store's keys.
     async fn snapshot() -> Arc<Snapshot>;
     /// Replaces the injected faults.
     async fn set_faults(faults: Faults);
@@ -98,12 +98,12 @@
         self.shared.waiting.store(waiting, Ordering::Relaxed);
     }
 
-    /// Replaces the copy of the store's keys.
+    /// Replaces the snapshot of the store's keys.
     pub fn set_snapshot(&self, snapshot: Arc<Snapshot>) {
         *lock(&self.shared.snapshot) = snapshot;
     }
 
-    /// Returns the copy of the store's keys.
+    /// Returns the snapshot of the store's keys.
     #[must_use]
     pub fn snapshot(&self) -> Arc<Snapshot> {
         lock(&self.shared.snapshot).clone()
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -61,7 +61,7 @@
     /// No traffic within the idle timeout.
     Idle,
     /// The fabric stopped acknowledging, or never confirmed the accept.
-    Silent,
+    AckTimeout,
     /// The fabric reset the flow.
     Reset,
 }
@@ -318,8 +318,8 @@
                 events::AGENT_ACK_TIMEOUT,
                 self.params.flow_id
             );
-            metrics::count_refusal(Refusal::Silent);
-            return Some(FlowEnd::Silent);
+            metrics::count_refusal(Refusal::AckTimeout);
+            return Some(FlowEnd::AckTimeout);
         }
         if !self.confirmed && now >= self.next_accept {
             if self.next_accept > self.opened_at {
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -55,11 +55,17 @@
         .with_context(|| format!("agent {name}: binding {}", target.agent_addr))?;
     let store = store::Client::new(settings.store.addr, ms(settings.store.timeout_ms)).await;
     let keys = KeyLayout::new(settings.store.prefix.clone());
-    let board = ProcessState::new(format!("agent-{name}").into(), keys.config_prefix().into());
-    let admin_server = admin::Server::start(target.agent_addr, board.clone()).await?;
+    let process_state =
+        ProcessState::new(format!("agent-{name}").into(), keys.config_prefix().into());
+    let admin_server = admin::Server::start(target.agent_addr, process_state.clone()).await?;
     let (ended_tx, ended_rx) = mpsc::unbounded_channel();
-    let agent =
-        Rc::new(RefCell::new(Agent::new(target.clone(), settings, sock, ended_tx, board.clone())));
+    let agent = Rc::new(RefCell::new(Agent::new(
+        target.clone(),
+        settings,
+        sock,
+        ended_tx,
+        process_state.clone(),
+    )));
     let (registration, value) = watch::channel(encode_registration(&target, false)?);
     let key = keys.target(name);
     let (lease_store, lease_ms) = (store.clone(), settings.agent_timers.lease_ttl_ms);
@@ -75,7 +81,7 @@
         refresh: std::sync::Arc::default(),
     };
     let config_task =
-        tokio::task::spawn_local(follow_config(source, keys.clone(), agent.clone(), board));
+        tokio::task::spawn_local(follow_config(source, keys.clone(), agent.clone(), process_state));
     log::info!(
         "{} agent of {name} ({}) in {} on {}",
         events::AGENT_START,
@@ -182,7 +188,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     agent: Rc<RefCell<Agent>>,
-    board: ProcessState,
+    process_state: ProcessState,
 ) {
     let name = agent.borrow().target_name();
     mirror::follow(
@@ -191,8 +197,8 @@
         |event| match event {
             MirrorEvent::Updated(snapshot) => {
                 agent.borrow_mut().apply_config(AgentConfig::read(&keys, snapshot, &name));
-                board.set_snapshot(std::sync::Arc::new(snapshot.clone()));
-                board.set_ready(true);
+                process_state.set_snapshot(std::sync::Arc::new(snapshot.clone()));
+                process_state.set_ready(true);
             }
             MirrorEvent::StoreFailed(e) => {
                 log::warn!(
--- a/src/agent/placement.rs
+++ b/src/agent/placement.rs
@@ -30,21 +30,22 @@
     let load = load.min(UNAVAILABLE_LOAD - 1);
     let only_candidate = offer.second.is_none();
     match (admission, offer.stage) {
-        (Admission::Accept, OfferStage::Take | OfferStage::Last) => OfferAction::Accept,
-        (Admission::Accept, OfferStage::Ask) if only_candidate || load == 0 => OfferAction::Accept,
-        (Admission::Accept, OfferStage::Ask) => pass_on(OfferStage::Compare { load }),
+        (Admission::Accept, OfferStage::Assign | OfferStage::Last) => OfferAction::Accept,
+        (Admission::Accept, OfferStage::Propose) if only_candidate || load == 0 => {
+            OfferAction::Accept
+        }
+        (Admission::Accept, OfferStage::Propose) => pass_on(OfferStage::Compare { load }),
         (Admission::Accept, OfferStage::Compare { load: other })
             if is_clearly_lower(load, other) =>
         {
             OfferAction::Accept
         }
         (Admission::Accept, OfferStage::Compare { .. }) => pass_on(OfferStage::Last),
-        (Admission::Refuse(reason), OfferStage::Take | OfferStage::Ask | OfferStage::Last)
-            if only_candidate =>
-        {
-            OfferAction::Refuse(reason)
-        }
-        (Admission::Refuse(_), OfferStage::Take | OfferStage::Ask | OfferStage::Last) => {
+        (
+            Admission::Refuse(reason),
+            OfferStage::Assign | OfferStage::Propose | OfferStage::Last,
+        ) if only_candidate => OfferAction::Refuse(reason),
+        (Admission::Refuse(_), OfferStage::Assign | OfferStage::Propose | OfferStage::Last) => {
             pass_on(OfferStage::Compare { load: UNAVAILABLE_LOAD })
         }
         (Admission::Refuse(reason), OfferStage::Compare { load: UNAVAILABLE_LOAD }) => {
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -48,7 +48,7 @@
     waiting: WaitingFlows,
     ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
     tasks: JoinSet<()>,
-    board: ProcessState,
+    process_state: ProcessState,
 }
 
 impl Agent {
@@ -59,7 +59,7 @@
         settings: &Settings,
         sock: UdpSocket,
         ended: mpsc::UnboundedSender<(u64, FlowEnd)>,
-        board: ProcessState,
+        process_state: ProcessState,
     ) -> Self {
         Self {
             target,
@@ -79,7 +79,7 @@
             waiting: WaitingFlows::default(),
             ended,
             tasks: JoinSet::new(),
-            board,
+            process_state,
         }
     }
 
@@ -178,7 +178,7 @@
             return;
         };
         if profile.service != self.target.service {
-            metrics::count_refusal(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::WrongService);
             return;
         }
         let max_flows = profile.max_flows;
@@ -191,7 +191,7 @@
         }
         let own_addr = ipv4_addr(self.target.agent_addr);
         let offer =
-            p.offer.unwrap_or(Offer { first: own_addr, second: None, stage: OfferStage::Take });
+            p.offer.unwrap_or(Offer { first: own_addr, second: None, stage: OfferStage::Assign });
         match decide_offer(admission, self.load(max_flows), offer) {
             OfferAction::Accept => self.start_flow(p, offer),
             OfferAction::PassOn(next) => self.pass_on(p, next),
@@ -240,8 +240,10 @@
         self.spawn(async move {
             let end = flow::run(sock.clone(), params.clone(), waiting, packets).await;
             match end {
-                FlowEnd::Unreachable => decline_unreachable(&sock, &params, p, offer).await,
-                FlowEnd::Idle | FlowEnd::Silent => params.send_reply(&sock, ReplyKind::Reset).await,
+                FlowEnd::Unreachable => pass_on_or_refuse(&sock, &params, p, offer).await,
+                FlowEnd::Idle | FlowEnd::AckTimeout => {
+                    params.send_reply(&sock, ReplyKind::Reset).await
+                }
                 FlowEnd::Closed | FlowEnd::Reset => {}
             }
             let _ = ended.send((params.flow_id, end));
@@ -256,7 +258,7 @@
 
     fn publish_flow_counts(&self) {
         let flows = u32::try_from(self.flows.len()).unwrap_or(u32::MAX);
-        self.board.set_flows(flows, self.waiting.count());
+        self.process_state.set_flows(flows, self.waiting.count());
     }
 }
 
@@ -271,7 +273,7 @@
 
 /// Passes on or refuses an open that was accepted but whose target could not
 /// be reached. No caller data was delivered, so another target may accept it.
-async fn decline_unreachable(sock: &UdpSocket, params: &flow::FlowParams, p: Packet, offer: Offer) {
+async fn pass_on_or_refuse(sock: &UdpSocket, params: &flow::FlowParams, p: Packet, offer: Offer) {
     match decide_unreachable(offer) {
         OfferAction::PassOn(next) => send_offer(sock, p, next).await,
         OfferAction::Accept | OfferAction::Refuse(_) => {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -54,7 +54,7 @@
     if p.kind != PacketKind::Open || p.owner.addr().is_some() {
         return match p.owner.addr() {
             Some(a) if route.pool.owners.contains(&a) => RouteDecision::Forward(a),
-            _ => RouteDecision::Drop(Refusal::ForeignOwner),
+            _ => RouteDecision::Drop(Refusal::WrongService),
         };
     }
     match make_offer(route, p.flow, p.seq) {
@@ -71,9 +71,9 @@
     let (&primary, alternate) = route.pool.table.lookup_pair(key)?;
     let second = alternate.copied();
     Some(match (attempt, route.profile.policy, second) {
-        (1, _, Some(first)) => Offer { first, second: Some(primary), stage: OfferStage::Take },
-        (0, Policy::LeastLoaded, _) => Offer { first: primary, second, stage: OfferStage::Ask },
-        _ => Offer { first: primary, second, stage: OfferStage::Take },
+        (1, _, Some(first)) => Offer { first, second: Some(primary), stage: OfferStage::Assign },
+        (0, Policy::LeastLoaded, _) => Offer { first: primary, second, stage: OfferStage::Propose },
+        _ => Offer { first: primary, second, stage: OfferStage::Assign },
     })
 }
 
@@ -98,8 +98,8 @@
         balancer.zone,
         balancer.addr
     );
-    let board = ProcessState::new(balancer.name.clone(), keys.config_prefix().into());
-    let admin_server = admin::Server::start(balancer.addr, board.clone()).await?;
+    let process_state = ProcessState::new(balancer.name.clone(), keys.config_prefix().into());
+    let admin_server = admin::Server::start(balancer.addr, process_state.clone()).await?;
     let source = Source {
         store: store.clone(),
         prefix: keys.root_prefix(),
@@ -112,7 +112,7 @@
         source,
         keys.clone(),
         view.clone(),
-        board.clone(),
+        process_state.clone(),
         view_updater::HoldTimes {
             targets: ms(settings.balancer_timers.missing_hold_ms),
             owners: ms(settings.balancer_timers.owner_retention_ms),
@@ -132,7 +132,7 @@
         _ = int.recv() => Ok(()),
     };
     // The fabric may send packets until it learns that the balancer is not ready.
-    board.set_ready(false);
+    process_state.set_ready(false);
     view_task.abort();
     let linger = ms(settings.balancer_timers.linger_ms);
     let _ = tokio::time::timeout(linger, forward_packets(&sock, &view)).await;
--- a/src/balancer/registry.rs
+++ b/src/balancer/registry.rs
@@ -2,7 +2,7 @@
 //!
 //! A registration that disappears alone means a failed target, which gets no
 //! new flows. When most of a service's registrations disappear together, the
-//! cause is taken to be the store (leases lapsed during an outage), and the
+//! cause is taken to be the store (leases expired during an outage), and the
 //! targets stay in use for a hold time, which a store failure restarts. Owners
 //! of established flows are remembered longer, as their agents may be alive.
 
@@ -18,7 +18,7 @@
     target: Target,
     missing_since: Option<Instant>,
     /// Whether most of its service went missing within the same hold time.
-    lapsed_together: bool,
+    missing_together: bool,
 }
 
 /// The targets as last registered, including missing ones.
@@ -44,19 +44,19 @@
             e.missing_since = e.missing_since.or(Some(now));
         }
         for target in registered {
-            let entry = Entry { target, missing_since: None, lapsed_together: false };
+            let entry = Entry { target, missing_since: None, missing_together: false };
             self.entries.insert(entry.target.name.clone(), entry);
         }
-        self.mark_lapsed_together(now);
+        self.mark_missing_together(now);
         let retention = self.owner_retention.max(self.hold);
         self.entries
             .retain(|_, e| e.missing_since.is_none_or(|at| now.duration_since(at) < retention));
     }
 
-    /// Restarts the hold of targets that lapsed together, after a store failure
+    /// Restarts the hold of targets that went missing together, after a store failure
     /// at `now` during which agents could not renew their leases.
     pub fn restart_hold(&mut self, now: Instant) {
-        for e in self.entries.values_mut().filter(|e| e.lapsed_together) {
+        for e in self.entries.values_mut().filter(|e| e.missing_together) {
             e.missing_since = e.missing_since.map(|_| now);
         }
     }
@@ -65,7 +65,7 @@
     /// ordered by operators.
     pub fn serving(&self, service: Service, now: Instant) -> impl Iterator<Item = &Target> {
         let in_use = move |e: &&Entry| {
-            e.missing_since.is_none_or(|at| e.lapsed_together && self.is_within_hold(at, now))
+            e.missing_since.is_none_or(|at| e.missing_together && self.is_within_hold(at, now))
         };
         self.entries_of(service).filter(in_use).map(|e| &e.target).filter(|t| !t.stopping)
     }
@@ -95,7 +95,7 @@
 
     /// Marks recently missing targets of each service that has more of them
     /// than registered ones.
-    fn mark_lapsed_together(&mut self, now: Instant) {
+    fn mark_missing_together(&mut self, now: Instant) {
         // Missing minus registered targets.
         let mut excess: HashMap<Service, i64> = HashMap::new();
         let hold = self.hold;
@@ -106,7 +106,7 @@
         }
         for e in self.entries.values_mut() {
             let most_missing = excess.get(&e.target.service).is_some_and(|n| *n > 0);
-            e.lapsed_together |= most_missing && is_recently_missing(e, hold, now);
+            e.missing_together |= most_missing && is_recently_missing(e, hold, now);
         }
     }
 
--- a/src/balancer/view_updater.rs
+++ b/src/balancer/view_updater.rs
@@ -29,7 +29,7 @@
     builder: ViewBuilder,
     snapshot: Arc<Snapshot>,
     view: Rc<RefCell<View>>,
-    board: ProcessState,
+    process_state: ProcessState,
     built_at: Instant,
     is_stale: bool,
 }
@@ -37,15 +37,15 @@
 impl ViewUpdater {
     /// Rebuilds the view if it is stale, unless an injected fault prevents it.
     fn refresh(&mut self) {
-        if self.is_stale && !self.board.faults().freeze_view {
+        if self.is_stale && !self.process_state.faults().freeze_view {
             self.is_stale = false;
             self.rebuild();
-            let reverted = self.snapshot.rev < self.board.snapshot().rev;
+            let reverted = self.snapshot.rev < self.process_state.snapshot().rev;
             metrics::check_invariant(!reverted, "view_never_reverts", || {
                 format!("to {}", self.snapshot.rev)
             });
-            self.board.set_snapshot(self.snapshot.clone());
-            self.board.set_ready(true);
+            self.process_state.set_snapshot(self.snapshot.clone());
+            self.process_state.set_ready(true);
         }
     }
 
@@ -68,7 +68,7 @@
     source: Source<store::Client>,
     keys: KeyLayout,
     view: Rc<RefCell<View>>,
-    board: ProcessState,
+    process_state: ProcessState,
     hold_times: HoldTimes,
 ) {
     let registry = TargetRegistry::new(hold_times.targets, hold_times.owners);
@@ -76,7 +76,7 @@
         builder: ViewBuilder::new(keys, registry),
         snapshot: Arc::default(),
         view,
-        board,
+        process_state,
         built_at: Instant::now(),
         is_stale: false,
     });
--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -78,10 +78,12 @@
         packets: Socket::bind(settings.packets, "packets of callers").await?,
         messages: Socket::bind(settings.message_addr(), "messages of agents").await?,
     };
-    let board = ProcessState::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
-    let admin_server = admin::Server::start(settings.message_addr().into(), board.clone()).await?;
+    let process_state =
+        ProcessState::new(settings.name.clone(), platform::config::OPERATOR_PREFIX.into());
+    let admin_server =
+        admin::Server::start(settings.message_addr().into(), process_state.clone()).await?;
     let ready_server = match settings.ready {
-        Some(addr) => Some(serve_readiness(addr, board.clone()).await?),
+        Some(addr) => Some(serve_readiness(addr, process_state.clone()).await?),
         None => None,
     };
     let steering =
@@ -95,20 +97,23 @@
         "balancer started"
     );
     let refresh = Arc::new(Notify::new());
-    let follower = follow_store(&settings, &steering, &board, refresh.clone()).await?;
+    let follower = follow_store(&settings, &steering, &process_state, refresh.clone()).await?;
     let caller_port = settings.packets.port();
-    super::run_until_stopped(path, forward(&sockets, &steering, caller_port, &board, &refresh))
-        .await?;
+    super::run_until_stopped(
+        path,
+        forward(&sockets, &steering, caller_port, &process_state, &refresh),
+    )
+    .await?;
     log::info!(
         event = events::EDGE_STOP, name:% = settings.name, flows = steering.borrow().flow_count();
         "balancer is stopping"
     );
     steering.borrow_mut().begin_shutdown();
-    board.set_ready(false);
+    process_state.set_ready(false);
     let stop_delay = STOP_DELAY.min(settings.stop_grace() / 2);
     let _ = tokio::time::timeout(
         stop_delay,
-        forward(&sockets, &steering, caller_port, &board, &refresh),
+        forward(&sockets, &steering, caller_port, &process_state, &refresh),
     )
     .await;
     follower.abort();
@@ -122,7 +127,7 @@
 async fn follow_store(
     settings: &Settings,
     steering: &Rc<RefCell<FlowSteering>>,
-    board: &ProcessState,
+    process_state: &ProcessState,
     refresh: Arc<Notify>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let source = Source {
@@ -141,7 +146,7 @@
     );
     let (snapshots, latest) = watch::channel(None);
     let relaying = relay::run(source.store.clone(), relay.clone(), steering.clone(), latest);
-    let (steering, board) = (steering.clone(), board.clone());
+    let (steering, process_state) = (steering.clone(), process_state.clone());
     Ok(tokio::task::spawn_local(async move {
         let mut store_lost = false;
         let mut reader = SnapshotReader::default();
@@ -153,9 +158,9 @@
         let follow = mirror::follow(&source, narrow_prefix, |event| match event {
             MirrorEvent::Updated(snapshot) => {
                 reader.apply_snapshot(&mut steering.borrow_mut(), snapshot);
-                board.set_ready(steering.borrow().is_ready());
+                process_state.set_ready(steering.borrow().is_ready());
                 let snapshot = Arc::new(snapshot.clone());
-                board.set_snapshot(snapshot.clone());
+                process_state.set_snapshot(snapshot.clone());
                 snapshots.send_replace(Some(snapshot));
             }
             MirrorEvent::Recovered => {
@@ -193,11 +198,11 @@
 
 async fn serve_readiness(
     addr: std::net::SocketAddr,
-    board: ProcessState,
+    process_state: ProcessState,
 ) -> anyhow::Result<Server> {
     Server::start(addr, move |request| {
         HttpResponse::empty(match request.path.as_str() {
-            platform::READY_PATH if board.is_ready() => StatusCode::OK,
+            platform::READY_PATH if process_state.is_ready() => StatusCode::OK,
             platform::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         })
@@ -210,7 +215,7 @@
     sockets: &Sockets,
     steering: &RefCell<FlowSteering>,
     caller_port: u16,
-    board: &ProcessState,
+    process_state: &ProcessState,
     refresh: &Notify,
 ) {
     let mut buf = vec![0; RECV_BUFFER_BYTES];
@@ -248,6 +253,6 @@
         if all_read {
             steering.tick(now, &mut out);
         }
-        board.set_ready(steering.is_ready());
+        process_state.set_ready(steering.is_ready());
     }
 }
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -42,7 +42,7 @@
     pub service: Option<Arc<str>>,
     /// Port of the metrics and inspection endpoints.
     pub metrics: u16,
-    /// Address of the platform's key-value store.
+    /// Address of the platform's key-value service.
     pub store: SocketAddr,
     /// TCP addresses of some balancers; only the IP addresses are used.
     pub seeds: Vec<SocketAddr>,
--- a/src/events/mod.rs
+++ b/src/events/mod.rs
@@ -83,7 +83,7 @@
 pub const EDGE_STORE: &str = "E703";
 /// A configuration was applied or rejected.
 pub const EDGE_CONFIG: &str = "E704";
-/// A list ' s list knows changed.
+/// A balancer's list of registered agents changed.
 pub const EDGE_ROSTER: &str = "E705";
 /// A target's state changed.
 pub const EDGE_TARGET: &str = "E706";
@@ -97,14 +97,14 @@
 pub const FLOW_RESET: &str = "E711";
 /// A target's report was ignored.
 pub const REPORT_IGNORED: &str = "E712";
-/// A peer's copy of the store's keys could not be fetched.
-pub const PEER_COPY_FAILED: &str = "E715";
+/// A peer's snapshot of the store's keys could not be fetched.
+pub const PEER_SNAPSHOT_FAILED: &str = "E715";
 /// No agent answered an open in time; it is offered to the next.
 pub const OPEN_UNANSWERED: &str = "E716";
-/// An agent declined an open; its target received nothing.
-pub const OPEN_DECLINED: &str = "E717";
-/// The agents of a service were asked which of them owns a flow.
-pub const OWNER_ASKED: &str = "E718";
+/// An agent refused an open; its target received nothing.
+pub const OPEN_REFUSED: &str = "E717";
+/// The agents of a service were queried for the owner of a flow.
+pub const OWNER_QUERIED: &str = "E718";
 /// No agent claimed a flow, and some did not answer or could not verify it.
 pub const OWNER_UNKNOWN: &str = "E724";
 /// A packet of a flow that no agent owns was tried at a target.
--- a/src/experiment/summary.rs
+++ b/src/experiment/summary.rs
@@ -85,7 +85,7 @@
             p50_ms: of(&|s| s.latency_quantile_ms(0.5) as f64),
             p99_ms: of(&|s| s.latency_quantile_ms(0.99) as f64),
             messages_per_flow: of(&Stats::messages_per_flow),
-            violations: runs.iter().map(|s| s.broken + s.misrouted + s.duplicates).sum(),
+            violations: runs.iter().map(|s| s.broken + s.misrouted + s.duplicated).sum(),
         }
     }
 }
--- a/src/fabric/connection.rs
+++ b/src/fabric/connection.rs
@@ -225,7 +225,7 @@
                 events::FABRIC_ACK_TIMEOUT,
                 self.ctx.flow
             );
-            metrics::count_refusal(Refusal::Silent);
+            metrics::count_refusal(Refusal::AckTimeout);
             return Some(EndReason::AgentGone);
         }
         let due: Vec<Packet> = self.unacked.resend(now).cloned().collect();
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -94,10 +94,10 @@
     let socket =
         UdpSocket::bind(f.addr).await.with_context(|| format!("fabric: binding {}", f.addr))?;
     let balancers: Vec<SocketAddr> = settings.balancers.iter().map(|b| b.addr).collect();
-    let board = ProcessState::new("fabric".into(), Arc::default());
-    board.set_ready(true);
-    let admin_server = admin::Server::start(f.addr, board.clone()).await?;
-    let sprayer = Sprayer::new(socket, balancers.clone(), board.clone());
+    let process_state = ProcessState::new("fabric".into(), Arc::default());
+    process_state.set_ready(true);
+    let admin_server = admin::Server::start(f.addr, process_state.clone()).await?;
+    let sprayer = Sprayer::new(socket, balancers.clone(), process_state.clone());
     let flows: Flows = Rc::default();
     // Dropping the set aborts its tasks, also on an early return.
     let mut tasks = JoinSet::new();
--- a/src/fabric/sprayer.rs
+++ b/src/fabric/sprayer.rs
@@ -31,18 +31,18 @@
     socket: Rc<UdpSocket>,
     in_rotation: Rc<RefCell<Vec<SocketAddr>>>,
     muted_flows: Rc<RefCell<HashSet<u64>>>,
-    board: ProcessState,
+    process_state: ProcessState,
 }
 
 impl Sprayer {
     /// Creates a sprayer with all `balancers` in rotation that reads its faults
-    /// from `board`.
-    pub fn new(socket: UdpSocket, balancers: Vec<SocketAddr>, board: ProcessState) -> Self {
+    /// from `process_state`.
+    pub fn new(socket: UdpSocket, balancers: Vec<SocketAddr>, process_state: ProcessState) -> Self {
         Self {
             socket: Rc::new(socket),
             in_rotation: Rc::new(RefCell::new(balancers)),
             muted_flows: Rc::default(),
-            board,
+            process_state,
         }
     }
 
@@ -63,7 +63,7 @@
 
     /// The injected faults in force.
     pub fn faults(&self) -> Faults {
-        self.board.faults()
+        self.process_state.faults()
     }
 
     /// Sends a packet to a random balancer in rotation.
@@ -83,7 +83,7 @@
 
     /// Draws what happens to a packet of `flow`, in either direction.
     pub fn random_outcome(&self, flow: u64) -> Outcome {
-        let faults = self.board.faults();
+        let faults = self.process_state.faults();
         if self.muted_flows.borrow().contains(&flow) || occurs(faults.lost_permille) {
             return Outcome::Dropped;
         }
@@ -92,7 +92,7 @@
 
     /// Draws the injected delay of one copy of a packet, if it is delayed.
     pub fn random_delay(&self) -> Option<Duration> {
-        let is_delayed = occurs(self.board.faults().delayed_permille);
+        let is_delayed = occurs(self.process_state.faults().delayed_permille);
         is_delayed.then(|| Duration::from_millis(rand::random_range(1..=MAX_DELAY_MS)))
     }
 
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -51,7 +51,8 @@
     NoTarget,
     /// The owner named by the packet is not an agent of the profile's service.
     #[display("foreign_owner")]
-    ForeignOwner,
+    #[serde(rename = "ForeignOwner")]
+    WrongService,
     /// The packet belongs to a flow that this agent does not hold.
     #[display("unknown_flow")]
     UnknownFlow,
@@ -60,7 +61,8 @@
     OpenTimeout,
     /// The flow's peer acknowledged nothing for too long.
     #[display("silent")]
-    Silent,
+    #[serde(rename = "Silent")]
+    AckTimeout,
 }
 
 /// Why a step was retried.
@@ -84,9 +86,9 @@
     /// An agent returned an open, which was offered to the next one.
     #[display("bounced")]
     Bounced,
-    /// The agents of a service were asked for a flow's owner.
+    /// The agents of a service were queried for a flow's owner.
     #[display("owner_asked")]
-    OwnerAsked,
+    OwnerQueried,
     /// An open was not offered again because the retry budget was spent.
     #[display("budget_spent")]
     BudgetSpent,
@@ -95,7 +97,7 @@
     StoreError,
     /// A lease expired and a new one was granted.
     #[display("lease_lapsed")]
-    LeaseLapsed,
+    LeaseExpired,
     /// A watch fell behind the store's compacted history, and the keys were
     /// listed again.
     #[display("watch_compacted")]
--- a/src/model/lifecycle.rs
+++ b/src/model/lifecycle.rs
@@ -111,7 +111,7 @@
             return;
         }
         let service = self.agents[n].service;
-        // The store entry names the target process that the previous agent process
+        // The registration names the target process that the previous agent process
         // served.
         let registered =
             self.target_report(service, self.agents[n].registered_incarnation, 1).incarnation;
@@ -274,7 +274,7 @@
         self.events.push(self.now + RESTART_DELAY, Event::StartAgent(n));
     }
 
-    /// A target exits for good: its agent removes its store entry and stays until
+    /// A target exits for good: its agent deletes its registration and stays until
     /// balancers have read the change.
     fn retire_target(&mut self, n: usize) {
         let mut out = Outbox::default();
@@ -287,7 +287,7 @@
         self.notify_store_change();
     }
 
-    /// Schedules a read of the store by every balancer, after an agent's entry has
+    /// Schedules a read of the store by every balancer, after an agent's registration has
     /// changed.
     fn notify_store_change(&mut self) {
         for b in 0..self.balancers.len() {
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -142,7 +142,7 @@
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
-    /// Epoch of the target that the agent's store entry names.
+    /// Incarnation of the target that the agent's registration names.
     pub(super) registered_incarnation: u64,
     /// A probe of the target's port is in progress.
     pub(super) probing: bool,
--- a/src/model/stats.rs
+++ b/src/model/stats.rs
@@ -99,7 +99,7 @@
     /// their own, over at least 2 s.
     pub misrouted: u32,
     /// Non-idempotent requests that were executed more than once.
-    pub duplicates: u32,
+    pub duplicated: u32,
 }
 
 impl Default for Stats {
@@ -120,7 +120,7 @@
             message_bytes: 0,
             broken: 0,
             misrouted: 0,
-            duplicates: 0,
+            duplicated: 0,
         }
     }
 }
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -88,7 +88,7 @@
         if !class.idempotent {
             let count = self.executions.entry(flow.caller).or_default();
             *count += 1;
-            self.stats.duplicates += u32::from(*count == 2);
+            self.stats.duplicated += u32::from(*count == 2);
         }
         let factor = self.rng.random_range(0.5..1.5);
         let a = &self.agents[n];
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -174,7 +174,7 @@
     HttpResponse::Ok().json(&Page { items, truncated, as_of: db.rev })
 }
 
-/// The changes that a watch asks for; `None` if the history lacks some.
+/// The changes that a watch requests; `None` if the history lacks some.
 fn changes(db: &Db, q: &WatchQuery) -> Option<Vec<Item>> {
     if db.is_compacted(q.after + 1) {
         return None;
--- a/src/policy/agent.rs
+++ b/src/policy/agent.rs
@@ -46,7 +46,7 @@
     /// It should exceed the time in which every balancer reads the registration: one
     /// that does not know the agent would reset the agent's flows as lost.
     #[serde(rename = "seen", with = "millis")]
-    pub announce_delay: Duration,
+    pub registration_delay: Duration,
     /// Silence of the target after an open before its port is probed.
     #[serde(rename = "silent_open", with = "millis")]
     pub open_probe_delay: Duration,
@@ -71,7 +71,7 @@
             full_pause: Duration::from_millis(250),
             closed_ttl: Duration::from_millis(3_200),
             shutdown_grace: Duration::from_millis(500),
-            announce_delay: Duration::from_millis(500),
+            registration_delay: Duration::from_millis(500),
             open_probe_delay: Duration::from_millis(60),
             request_probe_delay: Duration::from_millis(400),
             hints_enabled: true,
--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -60,7 +60,7 @@
     /// A new agent accepts no flow until every balancer can have read its registration.
     #[display("newcomer-wait")]
     #[value(name = "newcomer-wait")]
-    AnnounceDelay,
+    RegistrationDelay,
 }
 
 impl Mechanism {
@@ -86,7 +86,7 @@
             Self::RestartWait => balancer.restart_wait = Duration::ZERO,
             Self::FullPause => agent.full_pause = Duration::ZERO,
             Self::HandshakeTimeout => agent.handshake_timeout = agent.open_ttl,
-            Self::AnnounceDelay => agent.announce_delay = Duration::ZERO,
+            Self::RegistrationDelay => agent.registration_delay = Duration::ZERO,
         }
     }
 }
--- a/src/record/mod.rs
+++ b/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! Records in the key-value store, encoded as JSON.
+//! Records in the key-value service, encoded as JSON.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/steering/lookup.rs
+++ b/src/steering/lookup.rs
@@ -72,11 +72,11 @@
         search.named_trial = None;
         search.wave_index = 0;
         search.message_count = 0;
-        metrics::count_retry(Retry::OwnerAsked);
+        metrics::count_retry(Retry::OwnerQueried);
         log::info!(
-            event = events::OWNER_ASKED, flow:% = flow, agents = search.agent_count,
+            event = events::OWNER_QUERIED, flow:% = flow, agents = search.agent_count,
             version = self.config_version();
-            "agents asked for a flow's owner"
+            "agents queried for a flow's owner"
         );
         self.query_wave(flow, search, now);
     }
--- a/src/steering/opens.rs
+++ b/src/steering/opens.rs
@@ -83,7 +83,7 @@
             now,
         );
         let Some((first, second)) = pair else { return false };
-        let stage = if second.is_some() { OfferStage::Ask } else { OfferStage::Take };
+        let stage = if second.is_some() { OfferStage::Propose } else { OfferStage::Assign };
         let open = Open {
             service: &opening.service,
             max_flows: opening.max_flows,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -189,7 +189,7 @@
         Ok(res.id)
     }
 
-    /// Renews a lease; returns its time to live in seconds, 0 if it has lapsed.
+    /// Renews a lease; returns its time to live in seconds, 0 if it has expired.
     ///
     /// # Errors
     ///
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -1,7 +1,7 @@
-//! Keeps a key in the store under a lease: the announcement of agents and
-//! balancers, which disappears when its process dies.
+//! Keeps a key in the store under a lease: the registration of an agent or a
+//! balancer, which disappears when its process dies.
 //!
-//! The lease is renewed at a third of its time to live. When it has lapsed or
+//! The lease is renewed at a third of its time to live. When it has expired or
 //! the key is gone, a new lease is granted and the key written again.
 
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::metrics::{self, Retry};
 
 /// Longest pause before a failed call is retried. It bounds how long after an
-/// outage a lapsed key stays missing.
+/// outage an expired key stays missing.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Keeps `key` set to the latest `value` under a lease of `lease_ms` (at least
@@ -33,7 +33,7 @@
         let latest = value.borrow_and_update().clone();
         match acquire(store, key, &latest, ttl).await {
             Ok(lease) => {
-                renew_until_lapsed(store, key, lease, &mut value, renew_interval, check).await
+                renew_until_expired(store, key, lease, &mut value, renew_interval, check).await
             }
             Err(e) => {
                 record_failure(&e);
@@ -54,9 +54,9 @@
     Ok(lease)
 }
 
-/// Renews `lease` and writes new values; returns when the lease has lapsed, the
+/// Renews `lease` and writes new values; returns when the lease has expired, the
 /// key is gone, or a write failed.
-async fn renew_until_lapsed<L: LeaseStore>(
+async fn renew_until_expired<L: LeaseStore>(
     store: &L,
     key: &str,
     lease: i64,
@@ -75,7 +75,7 @@
                         event = events::AGENT_LEASE_EXPIRED, key = key, lease = lease;
                         "key is gone; acquiring a new lease for it"
                     );
-                    metrics::count_retry(Retry::LeaseLapsed);
+                    metrics::count_retry(Retry::LeaseExpired);
                     return;
                 }
                 Err(e) => record_failure(&e),
@@ -85,9 +85,9 @@
                 Ok(false) => {
                     log::warn!(
                         event = events::AGENT_LEASE_EXPIRED, key = key, lease = lease;
-                        "lease lapsed; acquiring a new one"
+                        "lease expired; acquiring a new one"
                     );
-                    metrics::count_retry(Retry::LeaseLapsed);
+                    metrics::count_retry(Retry::LeaseExpired);
                     return;
                 }
                 Err(e) => {
@@ -98,7 +98,7 @@
             Ok(()) = value.changed() => {
                 let latest = value.borrow_and_update().clone();
                 if let Err(e) = store.put(key, &latest, lease).await {
-                    // The lease may have lapsed; the caller acquires a new one.
+                    // The lease may have expired; the caller acquires a new one.
                     record_failure(&e);
                     return;
                 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,9 +1,9 @@
-//! A local copy of every key under a prefix, kept current by a watch.
+//! A mirror: a local snapshot of every key under a prefix, kept current by a watch.
 //!
-//! While the service fails, the copy keeps its last contents and calls are
+//! While the service fails, the snapshot keeps its last contents and calls are
 //! retried; a watch that fell behind the kept history is replaced by a new
 //! listing. The revision never decreases. A process that starts during an
-//! outage takes the newest copy among its peers.
+//! outage fetches the newest snapshot of its peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 /// Pause before a failed call is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Pause before a failed call is retried while there is no copy yet: shorter,
+/// Pause before a failed call is retried while there is no snapshot yet: shorter,
 /// as the process cannot serve anything until then.
 const EMPTY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time limit on fetching the copy of a peer.
+/// Time limit on fetching the snapshot of a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keys with their values and revisions.
@@ -76,7 +76,7 @@
         self.keys.get(key).is_none_or(|kv| kv.rev <= rev)
     }
 
-    /// Replaces the copy by `other` if that is newer; returns whether it was.
+    /// Replaces the snapshot by `other` if that is newer; returns whether it was.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let newer = other.rev > self.rev;
         if newer {
@@ -86,7 +86,7 @@
     }
 
     /// Hash of the keys under `prefix` and their revisions, for comparing the
-    /// copies of two processes.
+    /// snapshots of two processes.
     #[must_use]
     pub fn fingerprint(&self, prefix: &str) -> u64 {
         let mut hash = Xxh3::new();
@@ -97,7 +97,7 @@
         hash.digest()
     }
 
-    /// A copy of just the keys under `prefix`.
+    /// A snapshot of just the keys under `prefix`.
     #[must_use]
     pub fn with_prefix(&self, prefix: &str) -> Self {
         let keys = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
@@ -105,16 +105,16 @@
     }
 }
 
-/// What a mirror copies, and from where.
+/// What a mirror holds, and from where.
 #[derive(Clone)]
 pub struct Source<K> {
     /// The key-value service.
     pub store: K,
-    /// Prefix of the copied keys.
+    /// Prefix of the mirrored keys.
     pub prefix: String,
-    /// Processes whose own copies include this prefix.
+    /// Processes whose own snapshots include this prefix.
     pub peers: Vec<SocketAddr>,
-    /// When the peers are asked for their copies.
+    /// When snapshots are fetched from the peers.
     pub peer_fallback: PeerFallback,
     /// Pause after a change before the next watch call. A longer pause delays
     /// changes but returns more of them per call, as when many agents start.
@@ -124,12 +124,12 @@
     pub refresh: Arc<Notify>,
 }
 
-/// When a mirror asks its peers for their copies after a failed call.
+/// When a mirror fetches the snapshots of its peers after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFallback {
-    /// Only while it has no copy. For users that take a missing announcement
-    /// for a dead process: a peer's newer copy may lack announcements whose
-    /// leases lapsed in the outage.
+    /// Only while it has no snapshot. For users that treat a missing registration
+    /// as a dead process: a peer's newer snapshot may lack registrations whose
+    /// leases expired in the outage.
     WhenEmpty,
     /// After every failure. For users that probe processes themselves.
     Always,
@@ -138,7 +138,7 @@
 /// What a mirror reports to its caller.
 #[derive(Debug)]
 pub enum MirrorEvent<'a> {
-    /// The copy changed.
+    /// The snapshot changed.
     Updated(&'a Snapshot),
     /// A call to the service failed and is retried after a pause.
     StoreFailed(&'a anyhow::Error),
@@ -147,11 +147,11 @@
     Recovered,
 }
 
-/// Keeps a copy current and calls `on_event` for each [`MirrorEvent`]; never
+/// Keeps a snapshot current and calls `on_event` for each [`MirrorEvent`]; never
 /// returns.
 ///
 /// `scope` may return a narrower prefix that is enough to watch for the given
-/// copy. When it returns `None` again, everything is listed anew, as changes
+/// snapshot. When it returns `None` again, everything is listed anew, as changes
 /// outside the narrower prefix were missed.
 pub async fn follow<K, S, F>(source: &Source<K>, scope: S, mut on_event: F)
 where
@@ -197,8 +197,8 @@
                 on_event(MirrorEvent::StoreFailed(&e));
                 metrics::count_retry(Retry::StoreError);
                 recovering = true;
-                let ask_peers = source.peer_fallback == PeerFallback::Always || snapshot.rev == 0;
-                if ask_peers && update_from_peers(source, &mut snapshot).await {
+                let use_peers = source.peer_fallback == PeerFallback::Always || snapshot.rev == 0;
+                if use_peers && update_from_peers(source, &mut snapshot).await {
                     on_event(MirrorEvent::Updated(&snapshot));
                 }
                 tokio::time::sleep(if snapshot.rev == 0 { EMPTY_RETRY_PAUSE } else { RETRY_PAUSE })
@@ -208,7 +208,7 @@
     }
 }
 
-/// Effect of one call to the store on the copy.
+/// Effect of one call to the store on the snapshot.
 enum ReadOutcome {
     Unchanged,
     Changed,
@@ -236,9 +236,12 @@
     let listed = Snapshot::list(&source.store, &source.prefix).await?;
     if listed.rev < snapshot.rev {
         let (rev, prefix) = (listed.rev, &source.prefix);
-        anyhow::bail!("list {prefix}: revision {rev} is older than the copy's {}", snapshot.rev);
+        anyhow::bail!(
+            "list {prefix}: revision {rev} is older than the snapshot's {}",
+            snapshot.rev
+        );
     }
-    // A copy kept by a narrower watch may lack keys even at the same revision.
+    // A snapshot kept by a narrower watch may lack keys even at the same revision.
     let changed = snapshot.rev == 0 || listed != *snapshot;
     *snapshot = listed;
     Ok(if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged })
@@ -260,8 +263,8 @@
     Ok(if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged })
 }
 
-/// Replaces the copy by the newest one among the peers; returns whether any was
-/// newer. All peers are asked at once, so that silent ones add no delay.
+/// Replaces the snapshot by the newest one of the peers; returns whether any was
+/// newer. All peers are queried at once, so that unresponsive ones add no delay.
 async fn update_from_peers<K>(source: &Source<K>, snapshot: &mut Snapshot) -> bool {
     let fetches = source.peers.iter().map(|addr| fetch_peer_snapshot(*addr));
     let snapshots = futures_util::future::join_all(fetches).await;
@@ -279,8 +282,8 @@
     }
     .inspect_err(|e| {
         log::debug!(
-            event = crate::events::PEER_COPY_FAILED, error:% = format!("{e:#}");
-            "fetching a copy from a peer failed"
+            event = crate::events::PEER_SNAPSHOT_FAILED, error:% = format!("{e:#}");
+            "fetching a snapshot from a peer failed"
         );
     })
     .ok()
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The key-value service that processes share: client, leases, mirrored
-//! copies, and an in-memory server for tests and trials.
+//! The key-value service that processes share: client, leases, mirrors,
+//! and an in-memory server for tests and trials.
 //!
 //! The protocol is a subset of etcd v3's HTTP/JSON gateway (see [`types`]):
 //! reads, writes, compare-and-swap on a key's revision, leases and watches from
@@ -39,7 +39,7 @@
 pub enum Change {
     /// The key was written.
     Put(Kv),
-    /// The key was removed (by a delete or a lapsed lease).
+    /// The key was removed (by a delete or an expired lease).
     Delete {
         /// The key.
         key: Arc<str>,
@@ -50,9 +50,9 @@
 
 /// Names of the keys in the store.
 ///
-/// Operators write under `config/`; processes announce themselves under
-/// `live/`, with leases. Agents watch only `config/`, so the announcements of a
-/// large fleet do not reach them.
+/// Operators write under `config/`; processes register under `live/`, with
+/// leases. Agents watch only `config/`, so the registrations of a large fleet do
+/// not reach them.
 #[derive(Clone, Debug)]
 pub struct KeyLayout {
     prefix: Arc<str>,
@@ -77,7 +77,7 @@
         format!("{}/config/", self.prefix)
     }
 
-    /// Prefix of the targets' announcements.
+    /// Prefix of the targets' registrations.
     #[must_use]
     pub fn targets_prefix(&self) -> String {
         format!("{}/live/targets/", self.prefix)
@@ -89,7 +89,7 @@
         format!("{}/config/profiles/{name}", self.prefix)
     }
 
-    /// Key of a target's announcement, written by its agent under a lease.
+    /// Key of a target's registration, written by its agent under a lease.
     #[must_use]
     pub fn target(&self, name: &str) -> String {
         format!("{}{name}", self.targets_prefix())
@@ -101,7 +101,7 @@
         format!("{}/config/drain/{name}", self.prefix)
     }
 
-    /// Key of a balancer's announcement, written under a lease.
+    /// Key of a balancer's registration, written under a lease.
     #[must_use]
     pub fn balancer(&self, name: &str) -> String {
         format!("{}/live/balancers/{name}", self.prefix)
--- a/src/store/server/db.rs
+++ b/src/store/server/db.rs
@@ -23,7 +23,7 @@
     /// Number of coming writes that take effect but return 504.
     #[serde(rename = "lose")]
     pub lost_responses: u32,
-    /// Refuses keepalives, so that leases lapse while their holders run.
+    /// Refuses keepalives, so that leases expire while their holders run.
     #[serde(rename = "lapse")]
     pub refuse_keepalives: bool,
     /// Clears the history kept for watches, once.
@@ -141,12 +141,12 @@
         self.next_lease
     }
 
-    /// Whether the lease is granted and has not lapsed; true for 0, no lease.
+    /// Whether the lease is granted and has not expired; true for 0, no lease.
     pub fn has_lease(&self, lease: i64) -> bool {
         lease == 0 || self.leases.contains_key(&lease)
     }
 
-    /// Renews a lease; returns its time to live, or `None` if it has lapsed.
+    /// Renews a lease; returns its time to live, or `None` if it has expired.
     pub fn renew(&mut self, lease: i64) -> Option<Duration> {
         if self.faults.refuse_keepalives {
             return None;
@@ -172,16 +172,16 @@
 
     /// Removes leases past their deadline with their keys; returns whether there
     /// were any.
-    pub fn drop_lapsed_leases(&mut self, now: Instant) -> bool {
-        let lapsed: Vec<i64> =
+    pub fn drop_expired_leases(&mut self, now: Instant) -> bool {
+        let expired: Vec<i64> =
             self.leases.iter().filter(|(_, l)| l.deadline <= now).map(|(&id, _)| id).collect();
-        for id in &lapsed {
+        for id in &expired {
             if let Some(l) = self.leases.remove(id) {
                 for key in l.keys {
                     self.delete(&key);
                 }
             }
         }
-        !lapsed.is_empty()
+        !expired.is_empty()
     }
 }
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -1,4 +1,4 @@
-//! In-memory key-value server over HTTP, for tests and trials.
+//! In-memory key-value service over HTTP, for tests and trials.
 //!
 //! Besides the etcd-like calls, `POST /fault` with a [`Faults`] body injects
 //! failures and `GET /stats` returns the calls counted so far.
@@ -25,7 +25,7 @@
 /// How long a shutdown waits for calls in progress, such as waiting watches.
 const SHUTDOWN_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(1);
 
-/// Interval between checks for lapsed leases.
+/// Interval between checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// State shared by the request handlers.
@@ -96,10 +96,10 @@
     let lease_task = tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
-            let any_lapsed = lease_state.lock().drop_lapsed_leases(Instant::now());
-            if any_lapsed {
+            let any_expired = lease_state.lock().drop_expired_leases(Instant::now());
+            if any_expired {
                 log::info!(
-                    "{} leases lapsed; their keys are removed",
+                    "{} leases expired; their keys are removed",
                     events::STORE_LEASES_EXPIRED
                 );
                 lease_state.notify.notify_waiters();
--- a/src/store/traits.rs
+++ b/src/store/traits.rs
@@ -41,7 +41,7 @@
     /// The call may have taken effect nevertheless.
     fn grant(&self, ttl: Duration) -> impl Future<Output = anyhow::Result<i64>>;
 
-    /// Renews a lease; returns false if it has lapsed.
+    /// Renews a lease; returns false if it has expired.
     ///
     /// # Errors
     ///
@@ -56,7 +56,7 @@
     fn put(&self, key: &str, value: &[u8], lease: i64) -> impl Future<Output = anyhow::Result<()>>;
 
     /// Whether the key exists. The service may lose keys whose leases have not
-    /// lapsed.
+    /// expired.
     ///
     /// # Errors
     ///
--- a/src/store/types.rs
+++ b/src/store/types.rs
@@ -167,7 +167,7 @@
 /// `/v3/lease/keepalive` response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct KeepAliveResponse {
-    /// The lease; a TTL of 0 or less means it has lapsed.
+    /// The lease; a TTL of 0 or less means it has expired.
     #[serde(default)]
     pub result: Lease,
 }
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -32,7 +32,7 @@
         self.newly_listed
             && self
                 .first_report
-                .is_none_or(|at| now.duration_since(at) < self.policy.announce_delay)
+                .is_none_or(|at| now.duration_since(at) < self.policy.registration_delay)
     }
 
     /// Whether the target returned an open a short time ago.
@@ -77,7 +77,7 @@
             self.remove_flow(flow);
         }
         let admit = if *open.service != *self.service {
-            Admission::Refuse(Refusal::ForeignOwner)
+            Admission::Refuse(Refusal::WrongService)
         } else if self.is_unseen(now) {
             Admission::Refuse(Refusal::NoTarget)
         } else {
@@ -143,7 +143,7 @@
     ) {
         metrics::count_refusal(reason);
         log::info!(
-            event = events::OPEN_DECLINED, flow:% = flow, reason:% = reason,
+            event = events::OPEN_REFUSED, flow:% = flow, reason:% = reason,
             waiting = self.waiting, flows = self.flows.len();
             "open refused"
         );
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -228,7 +228,7 @@
                 if **service == *self.service {
                     self.handle_forward(from, *mode, &ReceivedPacket { seg, packet, now }, out);
                 } else {
-                    metrics::count_refusal(Refusal::ForeignOwner);
+                    metrics::count_refusal(Refusal::WrongService);
                 }
             }
             (Message::Query(query), _) => self.answer_query(from, query, now, out),
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -18,7 +18,7 @@
         out: &mut impl Transmit,
     ) {
         if *query.service != *self.service {
-            metrics::count_refusal(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::WrongService);
             return;
         }
         let mut answers = Vec::with_capacity(query.flows.len());
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -204,7 +204,7 @@
             self.children.check_alive()?;
             self.router.probe().await;
             if self.router.all_ready() && self.targets.iter().all(Target::acknowledged) {
-                // Balancers may not have read the agents' store entries yet.
+                // Balancers may not have read the agents' registrations yet.
                 tokio::time::sleep(Duration::from_millis(800)).await;
                 return Ok(());
             }
@@ -268,7 +268,7 @@
         self.children.send_signal(label, signal);
     }
 
-    /// Address of a process's metrics and beliefs: of balancer `n` in data centre
+    /// Address of a process's metrics and state: of balancer `n` in data centre
     /// `group` if `entry` is set, else of agent `n` of service `group`.
     #[must_use]
     pub fn metrics_addr(&self, entry: bool, group: u8, n: u8) -> SocketAddrV4 {
@@ -284,7 +284,7 @@
 
     /// Stops all targets and processes. Returns the labels of processes that had
     /// to be killed.
-    pub async fn down(self) -> Vec<String> {
+    pub async fn shut_down(self) -> Vec<String> {
         for t in self.targets {
             t.stop().await;
         }
@@ -303,7 +303,7 @@
     let mut trial = Trial::start(&exe, &dir, plan).await?;
     let report = trial.run_load(async |_: &mut Trial| Ok(())).await?;
     print!("{report}");
-    trial.down().await;
+    trial.shut_down().await;
     let _ = std::fs::remove_dir_all(&dir);
     Ok(())
 }
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -95,7 +95,7 @@
     pub const fn app(self) -> u16 {
         self.base + 4
     }
-    /// Metrics and beliefs endpoint.
+    /// Endpoint of metrics and state.
     pub const fn metrics(self) -> u16 {
         self.base + 5
     }
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -15,9 +15,9 @@
     /// Requests of feeds that failed on an open flow.
     pub broken: u32,
     /// Requests that a target executed more than once.
-    pub duplicates: u32,
+    pub duplicated: u32,
     /// Requests that reached a target of another service.
-    pub foreign: u32,
+    pub misrouted: u32,
     /// Flows opened, by target.
     pub flows_by_target: HashMap<String, u32>,
     /// Latencies of answered requests.
@@ -48,7 +48,7 @@
         writeln!(
             f,
             "served {} failed {} broken feeds {} doubled {} foreign {}",
-            self.served, self.failed, self.broken, self.duplicates, self.foreign
+            self.served, self.failed, self.broken, self.duplicated, self.misrouted
         )?;
         writeln!(
             f,
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -223,8 +223,8 @@
         let (service, id) = text.split_once(' ').unwrap_or_default();
         {
             let mut report = self.report.borrow_mut();
-            report.foreign += u32::from(service != self.service);
-            report.duplicates += u32::from(!self.executed.insert(id.to_string()));
+            report.misrouted += u32::from(service != self.service);
+            report.duplicated += u32::from(!self.executed.insert(id.to_string()));
         }
         let Some(open) = self.flows.get_mut(&flow) else { return };
         let response = format!("done {id} by {}", self.name);
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -51,7 +51,7 @@
 
 impl Site {
     /// Starts all processes of the site from the binary `exe`, then waits until all
-    /// profiles are written and all targets and balancers are announced.
+    /// profiles are written and all targets and balancers are registered.
     ///
     /// # Errors
     ///
--- a/src/up/spec.rs
+++ b/src/up/spec.rs
@@ -44,7 +44,7 @@
         self
     }
 
-    /// Sets the time to live of the leases of announcements, in milliseconds.
+    /// Sets the time to live of the leases of registrations, in milliseconds.
     #[must_use]
     pub const fn lease_ms(mut self, ms: u64) -> Self {
         self.lease_ms = ms;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -69,7 +69,7 @@
     pub fn next_agent(&self) -> SocketAddrV4 {
         match self.stage {
             OfferStage::Compare { .. } => self.second.unwrap_or(self.first),
-            OfferStage::Take | OfferStage::Ask | OfferStage::Last => self.first,
+            OfferStage::Assign | OfferStage::Propose | OfferStage::Last => self.first,
         }
     }
 
@@ -84,9 +84,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OfferStage {
     /// The first agent accepts the flow if it can.
-    Take,
-    /// The first agent accepts the flow or asks the second one to compare loads.
-    Ask,
+    #[serde(rename = "Take")]
+    Assign,
+    /// The first agent accepts the flow, or passes it to the second one to compare loads.
+    #[serde(rename = "Ask")]
+    Propose,
     /// The second agent accepts the flow if its load is clearly below the first's.
     Compare {
         /// Load of the first agent; `u32::MAX` if it cannot accept the flow.
--- a/tests/common/wires.rs
+++ b/tests/common/wires.rs
@@ -260,7 +260,7 @@
 
 /// The message of an open offered to `first` alone.
 pub fn open(first: SocketAddrV4, aged: bool) -> Open<'static> {
-    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Take };
+    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Assign };
     Open { service: SERVICE, max_flows: 2_000, aged, offer, reply_to: balancer() }
 }
 
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -21,8 +21,8 @@
 #[test]
 fn every_reason_is_documented() {
     use Refusal::{
-        Busy, Draining, ForeignOwner, Full, Lost, NoConfig, NoProfile, NoTarget, Silent,
-        TargetEnded, UnknownFlow, Unreachable,
+        AckTimeout, Busy, Draining, Full, Lost, NoConfig, NoProfile, NoTarget, TargetEnded,
+        UnknownFlow, Unreachable, WrongService,
     };
     let refusals = [
         Draining,
@@ -30,10 +30,10 @@
         Unreachable,
         NoProfile,
         NoTarget,
-        ForeignOwner,
+        WrongService,
         UnknownFlow,
         Refusal::OpenTimeout,
-        Silent,
+        AckTimeout,
         Busy,
         NoConfig,
         TargetEnded,
@@ -46,10 +46,10 @@
         Retry::OpenTimeout,
         Retry::PassedOn,
         Retry::StoreError,
-        Retry::LeaseLapsed,
+        Retry::LeaseExpired,
         Retry::WatchCompacted,
         Retry::Bounced,
-        Retry::OwnerAsked,
+        Retry::OwnerQueried,
     ];
     let names = refusals.map(|r| r.to_string()).into_iter().chain(retries.map(|r| r.to_string()));
     for name in names {
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -76,7 +76,7 @@
     let m =
         Message::Open(jujubepost::protocol::Open { service: "fieldlog", ..open(agent(1), false) });
     tracker.handle_message(balancer(), &m, Some(&syn(1)), b"syn", now, &mut w);
-    assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
+    assert_eq!(w.statuses(), [FlowStatus::Refused(Refusal::WrongService)]);
     let m = Message::Forward { service: "fieldlog", mode: ForwardMode::Try };
     tracker.handle_message(balancer(), &m, Some(&data(1, 1, 1, 1)), b"data", now, &mut w);
     let m = Message::Query(Query { service: "fieldlog", flows: Vec::new() });
--- a/tests/isolation.rs
+++ b/tests/isolation.rs
@@ -66,7 +66,7 @@
 /// An offer to the agent at `port` alone.
 fn only_offer(port: u16) -> Offer {
     let first = SocketAddrV4::new([127, 0, 0, 1].into(), port);
-    Offer { first, second: None, stage: OfferStage::Take }
+    Offer { first, second: None, stage: OfferStage::Assign }
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let view = view();
     let fieldlog = Owner::new(SocketAddrV4::new([127, 0, 0, 1].into(), 9201), 5);
     let decision = route_packet(&view, &packet(9020, PacketKind::Data, fieldlog));
-    assert_eq!(decision, RouteDecision::Drop(Refusal::ForeignOwner));
+    assert_eq!(decision, RouteDecision::Drop(Refusal::WrongService));
 }
 
 #[test]
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -11,7 +11,7 @@
 
 fn run(pattern: &Pattern, seed: u64) -> Stats {
     let stats = simulate(pattern, &Policy::default(), seed);
-    let violations = (stats.broken, stats.misrouted, stats.duplicates);
+    let violations = (stats.broken, stats.misrouted, stats.duplicated);
     assert_eq!(violations, (0, 0, 0), "{} seed {seed}", pattern.name);
     stats
 }
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -16,7 +16,7 @@
 
 fn run(p: &Pattern, seed: u64) -> Stats {
     let t = simulate(p, &Policy::default(), seed);
-    assert_eq!((t.broken, t.misrouted, t.duplicates), (0, 0, 0), "{} seed {seed}", p.name);
+    assert_eq!((t.broken, t.misrouted, t.duplicated), (0, 0, 0), "{} seed {seed}", p.name);
     t
 }
 
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn refused_only_if_no_candidate_can_accept() {
-    for stage in [OfferStage::Take, OfferStage::Ask] {
+    for stage in [OfferStage::Assign, OfferStage::Propose] {
         for (a, b) in candidates().flat_map(|a| candidates().map(move |b| (a, b))) {
             let outcome = run_offer(a, Some(b), stage);
             let should_refuse = !can_accept(a) && !can_accept(b);
@@ -86,15 +86,24 @@
 #[test]
 fn less_loaded_accepts() {
     let candidate = |load| Candidate { admits: true, load, reachable: true };
-    assert_eq!(run_offer(candidate(200), Some(candidate(0)), OfferStage::Ask), Outcome::Second);
-    assert_eq!(run_offer(candidate(1_000), Some(candidate(800)), OfferStage::Ask), Outcome::Second);
-    assert_eq!(run_offer(candidate(800), Some(candidate(1_000)), OfferStage::Ask), Outcome::First);
+    assert_eq!(run_offer(candidate(200), Some(candidate(0)), OfferStage::Propose), Outcome::Second);
+    assert_eq!(
+        run_offer(candidate(1_000), Some(candidate(800)), OfferStage::Propose),
+        Outcome::Second
+    );
+    assert_eq!(
+        run_offer(candidate(800), Some(candidate(1_000)), OfferStage::Propose),
+        Outcome::First
+    );
     // Within the margin of a sixteenth plus an eighth of a slot, the first accepts.
-    assert_eq!(run_offer(candidate(1), Some(candidate(0)), OfferStage::Ask), Outcome::First);
-    assert_eq!(run_offer(candidate(128), Some(candidate(0)), OfferStage::Ask), Outcome::First);
-    assert_eq!(run_offer(candidate(900), Some(candidate(850)), OfferStage::Ask), Outcome::First);
-    assert_eq!(run_offer(candidate(2), Some(candidate(2)), OfferStage::Ask), Outcome::First);
-    assert_eq!(run_offer(candidate(1_000), Some(candidate(0)), OfferStage::Take), Outcome::First);
+    assert_eq!(run_offer(candidate(1), Some(candidate(0)), OfferStage::Propose), Outcome::First);
+    assert_eq!(run_offer(candidate(128), Some(candidate(0)), OfferStage::Propose), Outcome::First);
+    assert_eq!(
+        run_offer(candidate(900), Some(candidate(850)), OfferStage::Propose),
+        Outcome::First
+    );
+    assert_eq!(run_offer(candidate(2), Some(candidate(2)), OfferStage::Propose), Outcome::First);
+    assert_eq!(run_offer(candidate(1_000), Some(candidate(0)), OfferStage::Assign), Outcome::First);
 }
 
 #[test]
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -281,6 +281,6 @@
     wait_in_force(&t, 5, &left).await;
     t.launch(&label).unwrap();
     wait_following(&t, 5, &all, 4).await;
-    assert_eq!(t.down().await, Vec::<String>::new(), "had to be killed");
+    assert_eq!(t.shut_down().await, Vec::<String>::new(), "had to be killed");
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -22,12 +22,12 @@
 
 /// What holds whatever happens.
 fn promises(r: &Report) {
-    assert_eq!(r.duplicates, 0, "ran twice: {r}");
-    assert_eq!(r.foreign, 0, "another service's request: {r}");
+    assert_eq!(r.duplicated, 0, "ran twice: {r}");
+    assert_eq!(r.misrouted, 0, "another service's request: {r}");
 }
 
 async fn end(name: &str, trial: Trial) {
-    assert_eq!(trial.down().await, Vec::<String>::new(), "had to be killed");
+    assert_eq!(trial.shut_down().await, Vec::<String>::new(), "had to be killed");
     let _ = std::fs::remove_dir_all(dir(name));
 }
 
