--- a/src/agent/admission.rs
+++ b/src/agent/admission.rs
@@ -16,8 +16,8 @@
 
 /// Decides whether the agent may accept a new flow.
 ///
-/// `draining_for` is the time since the agent learned that its target drains,
-/// if it does. During the first `drain_grace` of a drain new flows are still
+/// `draining_for` is the time since the agent was configured to drain its target,
+/// if it was. During the first `drain_grace` of a drain new flows are still
 /// accepted, as some balancers have not yet learned of it.
 #[must_use]
 pub fn admit(
--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -36,7 +36,7 @@
     pub reply_to: SocketAddr,
     /// TCP address of the local target.
     pub target: SocketAddr,
-    /// When to resend and when to give up.
+    /// When packets are resent and when the flow is ended.
     pub timeouts: FlowTimeouts,
 }
 
@@ -48,7 +48,7 @@
     /// Initial retransmission timeout of response data and accepts.
     pub rto: Duration,
     /// A flow whose response data stays unacknowledged this long is ended.
-    pub give_up: Duration,
+    pub ack: Duration,
 }
 
 /// Why a flow ended.
@@ -79,8 +79,8 @@
     }
 }
 
-/// Counts one flow in [`WaitingFlows`] while it waits; dropping it uncounts
-/// the flow.
+/// Counts one flow in [`WaitingFlows`] while it waits; dropping it ends the
+/// count.
 struct WaitingGuard {
     total: WaitingFlows,
     is_waiting: bool,
@@ -312,7 +312,7 @@
             return Some(FlowEnd::Idle);
         }
         let unconfirmed = !self.confirmed && now.duration_since(self.opened_at) >= CONFIRM_TIMEOUT;
-        if unconfirmed || self.unacked.stalled_for(now) >= timeouts.give_up {
+        if unconfirmed || self.unacked.stalled_for(now) >= timeouts.ack {
             log::info!(
                 "{} flow {:x} closed: the fabric acknowledged nothing in time",
                 events::AGENT_ACK_TIMEOUT,
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -26,7 +26,7 @@
 /// Pause in new flows after a failed connection to the target.
 const UNREACHABLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// One open flow, as the agent reaches its task.
+/// Access to the task of one open flow.
 struct FlowHandle {
     owner: Owner,
     port: u16,
@@ -74,7 +74,7 @@
             timeouts: FlowTimeouts {
                 idle: Duration::from_millis(settings.agent_timers.idle_timeout_ms),
                 rto: Duration::from_millis(settings.agent_timers.rto_ms),
-                give_up: Duration::from_millis(settings.agent_timers.ack_timeout_ms),
+                ack: Duration::from_millis(settings.agent_timers.ack_timeout_ms),
             },
             waiting: WaitingFlows::default(),
             ended,
--- a/src/bench/request.rs
+++ b/src/bench/request.rs
@@ -15,7 +15,7 @@
 const UPLOAD_BYTES: usize = 40_000;
 
 /// How long a caller waits for a response; longer than an injected fault lasts, so that
-/// a request which survives the fault counts as answered.
+/// a request delayed by the fault counts as answered.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns the method, path and body of the request that callers of `service` send.
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -65,7 +65,7 @@
     /// Prints the state of a platform process (`--at`) and its age: configuration,
     /// agents or target and, for one flow, where it goes and by which rule.
     Beliefs {
-        /// A flow as in the logs: `CALLER>SERVICE`, addresses with ports.
+        /// A flow as in the logs: `CALLER>VIP`, addresses with ports.
         #[arg(long)]
         flow: Option<Flow>,
     },
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -66,7 +66,7 @@
     /// Sends a packet of a flow. If the socket's buffer is full, the packet is
     /// dropped; the flow's endpoints retransmit it.
     pub fn send_packet(&self, to: SocketAddrV4, bytes: &[u8]) {
-        process::add_carried_bytes(bytes.len());
+        process::add_forwarded_bytes(bytes.len());
         self.try_send(to, bytes);
     }
 
@@ -93,7 +93,7 @@
         match protocol::encode(message, packet, buf) {
             Ok(()) => {
                 if message.is_forward_to_owner() {
-                    process::add_carried_bytes(buf.len());
+                    process::add_forwarded_bytes(buf.len());
                 } else {
                     process::add_message_bytes(buf.len());
                 }
--- a/src/fabric/connection.rs
+++ b/src/fabric/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's TCP connection carried as a flow of packets, with the reliability
+//! Relays one caller's TCP connection as a flow of packets, with the reliability
 //! that the caller's TCP stack would provide: open, retransmission, reordering,
 //! close and reset.
 
@@ -39,7 +39,7 @@
     TimedOut,
 }
 
-/// Carries one caller's connection until it ends.
+/// Relays one caller's connection until it ends.
 pub async fn run(
     caller: TcpStream,
     ctx: &FlowContext,
@@ -111,10 +111,10 @@
 enum EndReason {
     /// The target has closed, or reset the flow after its whole response.
     Closed,
-    /// The caller's connection failed: the agent is told to free the flow.
-    CallerGone,
+    /// The caller's connection failed: the agent gets a reset, which frees the flow.
+    CallerDisconnected,
     /// The agent lost the flow or stopped acknowledging: the caller gets a reset.
-    AgentGone,
+    AgentFailed,
 }
 
 struct Flow<'a> {
@@ -124,7 +124,7 @@
     unacked: SendWindow<Packet>,
     next_seq: u32,
     response: ReorderBuffer<Segment>,
-    caller_finished: bool,
+    caller_closed: bool,
     target_closed_at: Option<Instant>,
 }
 
@@ -137,7 +137,7 @@
             unacked: SendWindow::new(ctx.timeouts.rto, Instant::now()),
             next_seq: 1,
             response: ReorderBuffer::new(0),
-            caller_finished: false,
+            caller_closed: false,
             target_closed_at: None,
         }
     }
@@ -162,7 +162,7 @@
             let timer = tokio::time::Instant::from_std(self.next_timer());
             tokio::select! {
                 reply = replies.recv() => {
-                    let Some(reply) = reply else { break EndReason::CallerGone };
+                    let Some(reply) = reply else { break EndReason::CallerDisconnected };
                     if let Some(reason) = self.handle_reply(reply).await {
                         break reason;
                     }
@@ -170,9 +170,9 @@
                         self.send_ack().await;
                     }
                 }
-                ready = read_half.readable(), if !self.caller_finished && !self.unacked.is_full() => {
+                ready = read_half.readable(), if !self.caller_closed && !self.unacked.is_full() => {
                     if ready.is_err() {
-                        break EndReason::CallerGone;
+                        break EndReason::CallerDisconnected;
                     }
                     if let Some(reason) = self.forward_caller_data(&read_half).await {
                         break reason;
@@ -190,12 +190,12 @@
 
     async fn end(self, reason: EndReason, read_half: OwnedReadHalf) {
         match reason {
-            EndReason::Closed if self.caller_finished && self.unacked.is_empty() => {}
+            EndReason::Closed if self.caller_closed && self.unacked.is_empty() => {}
             // The agent has not seen the caller's close: a reset frees the flow.
-            EndReason::Closed | EndReason::CallerGone => {
+            EndReason::Closed | EndReason::CallerDisconnected => {
                 self.ctx.sprayer.send(&self.ctx.packet(PacketKind::Reset, self.owner)).await;
             }
-            EndReason::AgentGone => {
+            EndReason::AgentFailed => {
                 self.ctx.sprayer.send(&self.ctx.packet(PacketKind::Reset, self.owner)).await;
                 if let Ok(caller) = read_half.reunite(self.write_half) {
                     let _ = caller.set_zero_linger();
@@ -204,29 +204,29 @@
         }
     }
 
-    /// Whether the target has closed and the caller's packets are acknowledged or
-    /// waited for long enough.
+    /// Whether the target has closed and the caller's packets are acknowledged, or
+    /// [`CLOSE_LINGER`] has passed.
     fn is_finished(&self) -> bool {
         self.target_closed_at
             .is_some_and(|at| self.unacked.is_empty() || at.elapsed() >= CLOSE_LINGER)
     }
 
     fn next_timer(&self) -> Instant {
-        let idle_timer = Instant::now() + self.ctx.timeouts.silence;
+        let idle_timer = Instant::now() + self.ctx.timeouts.ack;
         let timer = self.unacked.next_resend().unwrap_or(idle_timer);
         self.target_closed_at.map_or(timer, |at| timer.min(at + CLOSE_LINGER))
     }
 
     async fn on_timer(&mut self) -> Option<EndReason> {
         let now = Instant::now();
-        if self.unacked.stalled_for(now) >= self.ctx.timeouts.silence {
+        if self.unacked.stalled_for(now) >= self.ctx.timeouts.ack {
             log::warn!(
                 "{} flow {:x}: agent acknowledges nothing; resetting the caller",
                 events::FABRIC_ACK_TIMEOUT,
                 self.ctx.flow
             );
             metrics::count_refusal(Refusal::AckTimeout);
-            return Some(EndReason::AgentGone);
+            return Some(EndReason::AgentFailed);
         }
         let due: Vec<Packet> = self.unacked.resend(now).cloned().collect();
         for mut packet in due {
@@ -245,11 +245,11 @@
             Ok(0) => {
                 packet.kind = PacketKind::Close;
                 packet.body = Vec::new();
-                self.caller_finished = true;
+                self.caller_closed = true;
             }
             Ok(n) => packet.body.truncate(n),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return None,
-            Err(_) => return Some(EndReason::CallerGone),
+            Err(_) => return Some(EndReason::CallerDisconnected),
         }
         packet.seq = self.next_seq;
         packet.ack = self.response.next_seq();
@@ -282,16 +282,16 @@
             ReplyKind::Close { seq, clean } => self.response.insert(seq, Segment::End { clean }),
             // The response is complete and the agent has freed the flow.
             ReplyKind::Reset if self.target_closed_at.is_some() => return Some(EndReason::Closed),
-            ReplyKind::Reset => return Some(EndReason::AgentGone),
+            ReplyKind::Reset => return Some(EndReason::AgentFailed),
         }
         while let Some(segment) = self.response.pop() {
             match segment {
                 Segment::Data(body) => {
                     if self.write_half.write_all(&body).await.is_err() {
-                        return Some(EndReason::CallerGone);
+                        return Some(EndReason::CallerDisconnected);
                     }
                 }
-                Segment::End { clean: false } => return Some(EndReason::AgentGone),
+                Segment::End { clean: false } => return Some(EndReason::AgentFailed),
                 Segment::End { clean: true } => {
                     let _ = self.write_half.shutdown().await;
                     self.target_closed_at = Some(Instant::now());
--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -44,7 +44,7 @@
     /// How long an agent may take to accept or refuse the flow.
     open: Duration,
     /// How long the flow's agent may leave packets unacknowledged.
-    silence: Duration,
+    ack: Duration,
 }
 
 impl Timeouts {
@@ -52,7 +52,7 @@
         Self {
             rto: Duration::from_millis(settings.rto_ms),
             open: Duration::from_millis(settings.open_timeout_ms),
-            silence: Duration::from_millis(settings.ack_timeout_ms),
+            ack: Duration::from_millis(settings.ack_timeout_ms),
         }
     }
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs the fabric of a site until the process is told to stop.
+/// Runs the fabric of a site until SIGTERM.
 ///
 /// # Errors
 ///
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 //!
 //! - [`settings`], [`record`]: settings files, and records in the store.
 //! - [`store`]: client and stand-in of the key-value service.
-//! - [`admin`], [`ctl`]: calls the the processes of a site, and operator commands.
+//! - [`admin`], [`ctl`]: calls between the processes of a site, and operator commands.
 //! - [`http`]: the HTTP server for probes, reports and metrics.
 //! - [`events`], [`logs`], [`metrics`]: event codes, log output, and instruments.
 //! - [`refusal`]: the HTTP response to a refused caller.
@@ -33,7 +33,7 @@
 //!
 //! - [`mod@bench`]: the load generator.
 //! - [`script`]: scripted changes and faults.
-//! - [`up`], [`trial`]: whole sites, and the platform roles, to one machine.
+//! - [`up`], [`trial`]: whole sites, and the platform roles, on one machine.
 //! - [`model`], [`experiment`]: a discrete-event simulation, and policies compared in it.
 
 pub mod admin;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -95,7 +95,7 @@
     /// A call to the key-value service failed and was repeated.
     #[display("store_error")]
     StoreError,
-    /// A lease expired and a new one was granted.
+    /// A lease expired and a new one was requested.
     #[display("lease_lapsed")]
     LeaseExpired,
     /// A watch fell behind the store's compacted history, and the keys were
@@ -248,7 +248,7 @@
 /// Records the time and the outcome of a call to the key-value service.
 pub fn record_store_call(call: &str, ok: bool, elapsed: Duration) {
     if ok {
-        process::record_store_answer();
+        process::record_store_response();
     }
     let attributes = [KeyValue::new("call", call.to_string()), KeyValue::new("ok", ok)];
     instruments().store_call_times.record(elapsed.as_secs_f64(), &attributes);
--- a/src/metrics/process.rs
+++ b/src/metrics/process.rs
@@ -8,13 +8,13 @@
 use std::time::Instant;
 
 static MESSAGE_BYTES: AtomicU64 = AtomicU64::new(0);
-static CARRIED_BYTES: AtomicU64 = AtomicU64::new(0);
+static FORWARDED_BYTES: AtomicU64 = AtomicU64::new(0);
 static SENDS_REFUSED: AtomicU64 = AtomicU64::new(0);
 static READ_BACKLOGS: AtomicU64 = AtomicU64::new(0);
 static PAUSED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Time of the last successful call to the key-value service.
-static STORE_ANSWERED_AT: Mutex<Option<Instant>> = Mutex::new(None);
+static LAST_STORE_RESPONSE: Mutex<Option<Instant>> = Mutex::new(None);
 
 /// Adds to the bytes of control messages about flows (offers, queries, answers)
 /// that were passed to the socket.
@@ -24,8 +24,8 @@
 
 /// Adds to the bytes of packets between callers and targets that were passed to
 /// the socket.
-pub fn add_carried_bytes(bytes: usize) {
-    CARRIED_BYTES.fetch_add(bytes as u64, Relaxed);
+pub fn add_forwarded_bytes(bytes: usize) {
+    FORWARDED_BYTES.fetch_add(bytes as u64, Relaxed);
 }
 
 /// Counts a datagram that was not sent because the socket's send buffer was full.
@@ -45,8 +45,8 @@
 }
 
 /// Records that a call to the key-value service has just succeeded.
-pub fn record_store_answer() {
-    *STORE_ANSWERED_AT.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
+pub fn record_store_response() {
+    *LAST_STORE_RESPONSE.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
 }
 
 /// Sets the gauges of the totals since the start of the process, and of the age
@@ -54,7 +54,7 @@
 pub fn publish() {
     let totals = [
         ("message_bytes", &MESSAGE_BYTES),
-        ("carried_bytes", &CARRIED_BYTES),
+        ("carried_bytes", &FORWARDED_BYTES),
         ("sends_refused", &SENDS_REFUSED),
         ("read_backlogs", &READ_BACKLOGS),
         ("paused_ms", &PAUSED_MS),
@@ -62,7 +62,7 @@
     for (fact, total) in totals {
         super::set_state(fact, total.load(Relaxed));
     }
-    let answered = *STORE_ANSWERED_AT.lock().unwrap_or_else(PoisonError::into_inner);
+    let answered = *LAST_STORE_RESPONSE.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(at) = answered {
         super::set_state(
             "store_age_ms",
--- a/src/model/caller.rs
+++ b/src/model/caller.rs
@@ -6,8 +6,8 @@
 use super::sender::Sender;
 use crate::flow::{Flags, Flow, Segment};
 
-/// When an unanswered SYN is repeated, measured from the first.
-pub const SYN_REPEATS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+/// Times of the retransmissions of an unanswered SYN, from the first SYN.
+pub const SYN_RETRANSMITS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
 /// When a caller gives up opening a flow.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
@@ -25,7 +25,7 @@
 /// State of a caller's flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerState {
-    /// Opening; the number of repeated SYNs.
+    /// Opening; the number of retransmitted SYNs.
     Opening(u8),
     /// Waiting for a response.
     Waiting,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The SYN that opens the flow. Its acknowledgement field counts the repeats.
+    /// The SYN that opens the flow. Its acknowledgement field counts the retransmissions.
     #[must_use]
     pub fn syn(&self, repeat: u8) -> Segment {
         let flags = Flags { syn: true, ..Flags::default() };
--- a/src/model/caller_events.rs
+++ b/src/model/caller_events.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use super::caller::{Caller, CallerState, MAX_RETRIES, OPEN_TIMEOUT, RETRY_DELAY, SYN_REPEATS};
+use super::caller::{Caller, CallerState, MAX_RETRIES, OPEN_TIMEOUT, RETRY_DELAY, SYN_RETRANSMITS};
 use super::simulation::{Event, Simulation, Step, vip};
 use super::site::Workload;
 use super::stats::Outcome;
@@ -47,7 +47,7 @@
         let deadline = caller.request_start + self.site.classes[caller.class].timeout;
         self.callers.insert(addr, caller);
         self.send_to_balancer(zone, &syn, 0);
-        for (n, delay) in (1..).zip(SYN_REPEATS) {
+        for (n, delay) in (1..).zip(SYN_RETRANSMITS) {
             self.events
                 .push(self.now + delay, Event::CallerStep(addr, generation, Step::RepeatSyn(n)));
         }
--- a/src/model/lifecycle.rs
+++ b/src/model/lifecycle.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Handles a target's report; it is repeated sooner while the agent is down.
+    /// Handles a target's report; it is retried sooner while the agent is down.
     fn report_target(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
         if !a.target.up || a.target.incarnation != incarnation {
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -89,7 +89,7 @@
     StopBalancer(usize, u64),
     /// An agent begins a planned stop.
     StopAgent(usize),
-    /// A stopping agent hands its flows over and exits.
+    /// A stopping agent sends owner hints for its flows and exits.
     EndAgent(usize, u64),
     /// A target exits for good.
     RetireTarget(usize),
@@ -229,13 +229,13 @@
     (role == 9, usize::from(high) << 8 | usize::from(low))
 }
 
-/// Service address of a request class.
+/// Virtual address of a request class.
 pub(super) fn vip(class: usize) -> SocketAddrV4 {
     // No site has 255 classes.
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, class as u8 + 1), 443)
 }
 
-/// Request class of a flow, from its service address.
+/// Request class of a flow, from its virtual address.
 pub(super) fn class_of(flow: Flow) -> usize {
     usize::from(flow.vip.ip().octets()[3]) - 1
 }
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -44,7 +44,7 @@
 /// Result of a packet at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketResult {
-    /// The target is down or does not hold the flow: the packet goes back.
+    /// The target is down or does not hold the flow: the packet is returned.
     Bounced,
     /// Accepted; nothing to do but to send the replies.
     Accepted,
@@ -233,7 +233,7 @@
 
 impl TargetFlow {
     /// Whether a packet belongs to this flow. While the flow is not established,
-    /// its acknowledgement tells whether the caller chose this target's SYN-ACK.
+    /// its acknowledgement shows whether the caller chose this target's SYN-ACK.
     const fn accepts(&self, seg: &Segment) -> bool {
         self.established || seg.ack.wrapping_sub(self.isn).wrapping_sub(1) < FIRST_ACK_WINDOW
     }
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes a packet that reached a target which does not hold its flow, and counts
+    /// Records a packet that reached a target which does not hold its flow, and counts
     /// the flow as misrouted once the thresholds are passed.
     fn count_misrouted(&mut self, seg: &Segment) {
         if seg.opens_flow() {
--- a/src/platform/kv.rs
+++ b/src/platform/kv.rs
@@ -20,7 +20,7 @@
 /// JSON, with a margin.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Time allowed for the response of a watch after its wait has ended.
+/// Time limit on the response of a watch after its wait has ended.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
 
 /// Client of the platform's key-value service.
--- a/src/platform/packet.rs
+++ b/src/platform/packet.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Encodes a reset from the flow's service address to its caller. `seq` must be
+/// Encodes a reset from the flow's virtual address to its caller. `seq` must be
 /// close to the caller's last acknowledgement; any value will do before the
 /// flow is open.
 #[must_use]
--- a/src/platform/server.rs
+++ b/src/platform/server.rs
@@ -1,5 +1,5 @@
-//! The in-memory store's handlers for the platform's calls. They use the same
-//! keys as its etcd-like calls.
+//! The in-memory store's handlers for the platform's calls. They share
+//! the keys with its etcd-like calls.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 /// Most conditions, writes and removals in one transaction.
 const MAX_TXN_ENTRIES: usize = 32;
 
-/// Serves the in-memory store at `addr` until the process is told to stop.
+/// Serves the in-memory store at `addr` until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -116,7 +116,7 @@
     /// The flow.
     pub flow: Flow,
     /// Acknowledgement number of the caller's last packet. If two targets answered
-    /// copies of one open, it tells which of them the caller continues with.
+    /// copies of one open, it shows which of them the caller continues with.
     pub ack: Option<u32>,
 }
 
--- a/src/relay/parts.rs
+++ b/src/relay/parts.rs
@@ -27,7 +27,7 @@
     pub checksums: Vec<u64>,
 }
 
-/// Routes of one part with their service addresses, sorted by address.
+/// Routes of one part with their virtual addresses, sorted by address.
 pub type Part = Vec<(SocketAddrV4, Route)>;
 
 /// Returns the checksum of a part's value.
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -263,8 +263,8 @@
         self.flows.insert(flow, FlowState::Owned { agent: from, service }, now);
     }
 
-    /// Tells the flow's home agent, which other balancers query first, who owns the
-    /// flow, unless it is the owner or passed the open on to it.
+    /// Sends a hint on the flow's owner to its home agent, which other balancers query
+    /// first, unless the home agent is the owner or passed the open on to it.
     fn send_owner_hint(
         &self,
         owner: SocketAddrV4,
@@ -395,7 +395,7 @@
 }
 
 /// Flows ordered by their next timer. Timers are not cancelled: a popped flow's state
-/// tells whether its deadline still applies.
+/// shows whether its deadline still applies.
 #[derive(Debug, Default)]
 struct DeadlineQueue(BinaryHeap<Reverse<(Instant, Flow)>>);
 
--- a/src/steering/roster.rs
+++ b/src/steering/roster.rs
@@ -302,7 +302,7 @@
                 | FlowStatus::Unknown
                 | FlowStatus::Unverified
                 | FlowStatus::NotOwner => a.target_ended = false,
-                // Does not tell whether the target runs.
+                // Does not show whether the target runs.
                 FlowStatus::Refused(_) => {}
             }
         }
--- a/src/store/server/mod.rs
+++ b/src/store/server/mod.rs
@@ -84,7 +84,7 @@
     HttpResponse::Ok().json(&db.stats)
 }
 
-/// Serves at `addr` until the process is told to stop. `extra_routes` adds
+/// Serves at `addr` until SIGTERM or SIGINT. `extra_routes` adds
 /// calls of another protocol.
 ///
 /// # Errors
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -211,8 +211,8 @@
     }
 }
 
-/// Runs the target `name` until the process is told to stop; requests in progress are
-/// completed first.
+/// Runs the target `name` until SIGTERM or SIGINT; requests in progress are completed
+/// first.
 ///
 /// # Errors
 ///
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -13,7 +13,8 @@
 use crate::wire::Offer;
 
 impl FlowTracker {
-    /// Load of the agent, as [`place::load`]; `UNABLE` if it accepts no flows.
+    /// Load of the agent, as [`placement::backlog_load`]; [`UNAVAILABLE_LOAD`] if it
+    /// accepts no flows.
     pub(super) fn load(&self, now: Instant) -> u32 {
         let Some(t) = &self.target else { return UNAVAILABLE_LOAD };
         if self.stopping || self.ends_at.is_some() || !t.accepts_flows() || self.is_full(now) {
@@ -27,8 +28,8 @@
         )
     }
 
-    /// Whether some balancers may not know the agent yet.
-    fn is_unseen(&self, now: Instant) -> bool {
+    /// Whether some balancers may not have read the agent's registration yet.
+    fn awaits_registration(&self, now: Instant) -> bool {
         self.newly_listed
             && self
                 .first_report
@@ -78,7 +79,7 @@
         }
         let admit = if *open.service != *self.service {
             Admission::Refuse(Refusal::WrongService)
-        } else if self.is_unseen(now) {
+        } else if self.awaits_registration(now) {
             Admission::Refuse(Refusal::NoTarget)
         } else {
             self.admit(open, now)
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -83,9 +83,9 @@
         false
     }
 
-    /// Hands over flow ownership before a planned stop: tells another agent that this
-    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints
-    /// that they own theirs. Sends one datagram per flow.
+    /// Sends owner hints before a planned stop, one datagram per flow: to another agent,
+    /// that this one, at `own_addr`, owns its open flows, and to the owners named in
+    /// received hints, that they own theirs.
     ///
     /// The next process starts without flow state. If the balancers restart as well,
     /// they learn from the hints which agent to try first.
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -84,8 +84,8 @@
     /// Whether the target sent on a flow that this process did not see open, which
     /// shows that a previous process accepted flows for the current incarnation.
     inherited: bool,
-    /// Whether balancers may not know yet that the agent accepts flows: the store did
-    /// not list it before, or it announced that its target ended.
+    /// Whether balancers may not know yet that the agent accepts flows: it was not
+    /// registered before, or it reported that its target ended.
     newly_listed: bool,
     /// Whether the agent has notified a balancer that its target ended.
     end_announced: bool,
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -10,10 +10,10 @@
 /// Names of the services, and the port of the route of each.
 pub const SERVICES: [(&str, u16); 2] = [("meter", 443), ("fieldlog", 8_443)];
 
-/// Service address of all routes with traffic.
+/// Virtual address of all routes with traffic.
 pub const VIP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
 
-/// Service address of the routes without traffic.
+/// Virtual address of the routes without traffic.
 pub const IDLE_VIP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 2);
 
 /// Port of the first route without traffic; the others follow.
--- a/src/up/mod.rs
+++ b/src/up/mod.rs
@@ -104,7 +104,7 @@
                 };
                 let (targets, balancers) = (count("targets"), count("balancers"));
                 if targets == s.targets.len() && balancers == s.balancers.len() {
-                    // The balancers learn of the same keys a little later, through their watches.
+                    // The balancers receive the same keys a little later, through their watches.
                     tokio::time::sleep(Duration::from_millis(500)).await;
                     return Ok(());
                 }
