--- a/src/balancer/registry.rs
+++ b/src/balancer/registry.rs
@@ -32,7 +32,7 @@
 impl TargetRegistry {
     /// An empty registry. Targets that go missing together stay in use for
     /// `hold`; the owners of established flows are remembered for
-    /// `owner_retention` after their registration is gone.
+    /// `owner_retention` after their registration is missing.
     #[must_use]
     pub const fn new(hold: Duration, owner_retention: Duration) -> Self {
         Self { entries: BTreeMap::new(), hold, owner_retention }
--- a/src/edge/registration.rs
+++ b/src/edge/registration.rs
@@ -25,7 +25,7 @@
 /// Keeps the registration in the store until dropped, from the target's first report
 /// on. An agent that registers without a target and disappears would delay the
 /// searches for flows of its service.
-pub(super) async fn hold_registration(
+pub(super) async fn maintain_registration(
     store: platform::kv::Client,
     key: String,
     mut values: watch::Receiver<Vec<u8>>,
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -49,7 +49,7 @@
                     event = events::EDGE_RELAY, key = relay.key(), relay = true;
                     "balancer became the relay of its data centre"
                 );
-                lease_task.spawn_local(hold_key(store.clone(), relay.key().to_string()));
+                lease_task.spawn_local(maintain_key(store.clone(), relay.key().to_string()));
             }
             continue;
         }
@@ -82,7 +82,7 @@
     }
 }
 
-async fn hold_key(store: Client, key: String) {
+async fn maintain_key(store: Client, key: String) {
     // Only the presence of the key matters; its value is empty.
     let (_value, values) = watch::channel(Vec::new());
     lease::maintain(&store, &key, values, RELAY_LEASE_MS, &Notify::new()).await;
--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -15,7 +15,8 @@
 use super::inspect::{self, Inspect};
 use super::port::{self, PortState};
 use super::registration::{
-    PreviousRegistration, Registration, deregister, hold_registration, read_previous_registration,
+    PreviousRegistration, Registration, deregister, maintain_registration,
+    read_previous_registration,
 };
 use super::socket::Socket;
 use super::{AGENT_PREFIX, Settings, connect_store, pause, reports};
@@ -142,7 +143,7 @@
         None => None,
     };
     let registration_loop =
-        hold_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
+        maintain_registration(store.clone(), key.clone(), values, registration.lease_check.clone());
     let registration_task = tokio::task::spawn_local(registration_loop);
     super::run_until_stopped(path, forward(&sockets, &tracker, &registration)).await?;
     let ended = check_target_ended(&sockets, &tracker).await;
--- a/src/logs/appender.rs
+++ b/src/logs/appender.rs
@@ -148,7 +148,7 @@
 }
 
 /// Writes queued lines in batches and logs how many were dropped. Returns when
-/// the appender is gone or a write fails.
+/// the appender is dropped or a write fails.
 fn run_writer(queue: &Receiver<WriterCommand>, mut out: impl Write, dropped: &AtomicU64) {
     let mut reported = 0;
     let mut text = Vec::new();
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -30,7 +30,7 @@
         /// Why this agent was chosen.
         mode: ForwardMode,
     },
-    /// An agent tells a balancer the status of a flow.
+    /// The status of a flow, sent by an agent to a balancer.
     #[serde(rename = "Note")]
     FlowUpdate(FlowUpdate),
     /// A balancer queries an agent for flows that its target may hold.
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -2,7 +2,7 @@
 //! balancer, which disappears when its process dies.
 //!
 //! The lease is renewed at a third of its time to live. When it has expired or
-//! the key is gone, a new lease is granted and the key written again.
+//! the key is missing, a new lease is granted and the key written again.
 
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
 }
 
 /// Renews `lease` and writes new values; returns when the lease has expired, the
-/// key is gone, or a write failed.
+/// key is missing, or a write failed.
 async fn renew_until_expired<L: LeaseStore>(
     store: &L,
     key: &str,
@@ -73,7 +73,7 @@
                 Ok(false) => {
                     log::warn!(
                         event = events::AGENT_LEASE_EXPIRED, key = key, lease = lease;
-                        "key is gone; acquiring a new lease for it"
+                        "key is missing; acquiring a new lease for it"
                     );
                     metrics::count_retry(Retry::LeaseExpired);
                     return;
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -38,7 +38,7 @@
                 *current = Some(next);
                 self.target_ended = false;
                 self.ends_at = None;
-                if std::mem::take(&mut self.end_announced) {
+                if std::mem::take(&mut self.end_reported) {
                     // Until the store lists this incarnation, balancers that know of the
                     // end treat a silent agent's flows as lost.
                     self.newly_listed = true;
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -88,9 +88,9 @@
     /// registered before, or it reported that its target ended.
     newly_listed: bool,
     /// Whether the agent has notified a balancer that its target ended.
-    end_announced: bool,
-    /// When the target's first report arrived; set anew by the first report after an
-    /// announced end.
+    end_reported: bool,
+    /// When the target's first report arrived; reset by the first report after an
+    /// end that balancers were notified of.
     first_report: Option<Instant>,
     /// When to probe the target's port, unless a packet or report of the target arrives
     /// earlier.
@@ -123,7 +123,7 @@
             stopping: false,
             inherited: false,
             newly_listed: false,
-            end_announced: false,
+            end_reported: false,
             first_report: None,
             probe_at: None,
         }
@@ -237,7 +237,7 @@
                 let load = self.load(now);
                 out.send_message(from, &Message::Pong { service: &self.service, load }, &[]);
                 if self.target_ended {
-                    self.end_announced = true;
+                    self.end_reported = true;
                     out.send_message(from, &Message::TargetEnded, &[]);
                 }
             }
--- a/src/tracker/packets.rs
+++ b/src/tracker/packets.rs
@@ -111,7 +111,7 @@
         out.send_to_caller(flow.caller, packet);
     }
 
-    /// Updates the flow's state from a target's packet and tells the waiting balancer
+    /// Updates the flow's state from a target's packet and notifies the waiting balancer
     /// once the target is known to hold the flow.
     pub(super) fn track_target_packet(
         &mut self,
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -53,7 +53,7 @@
     /// hold it.
     pub(super) fn denial_status(&mut self) -> Option<FlowStatus> {
         if self.target_ended {
-            self.end_announced = true;
+            self.end_reported = true;
             return Some(FlowStatus::TargetEnded);
         }
         self.target.as_ref().is_some_and(Target::all_flows_known).then_some(FlowStatus::Unknown)
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -264,7 +264,7 @@
     }
 
     /// Sends a signal to a process.
-    pub fn signal(&self, label: &str, signal: Signal) {
+    pub fn send_signal(&self, label: &str, signal: Signal) {
         self.children.send_signal(label, signal);
     }
 
--- a/src/trial/target.rs
+++ b/src/trial/target.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Sends heartbeats until the target has drained, then reports that it is gone.
+/// Sends heartbeats until the target has drained, then deregisters it.
 async fn send_heartbeats(
     id: String,
     service: &'static str,
--- a/tests/whole.rs
+++ b/tests/whole.rs
@@ -112,9 +112,9 @@
                 tokio::time::sleep(300 * MS).await;
                 t.launch(label)?;
             }
-            t.signal("sidecar-1-1", Signal::SIGSTOP);
+            t.send_signal("sidecar-1-1", Signal::SIGSTOP);
             tokio::time::sleep(1_000 * MS).await;
-            t.signal("sidecar-1-1", Signal::SIGCONT);
+            t.send_signal("sidecar-1-1", Signal::SIGCONT);
             // All agents at once: every balancer's memory is all there is.
             let agents: Vec<_> = (0..3).map(|n| format!("sidecar-0-{n}")).collect();
             agents.iter().for_each(|label| t.kill(label));
@@ -197,11 +197,11 @@
     let t = start("freeze", plan).await;
     let entries: Vec<_> = t.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
     for version in [2, 4] {
-        entries.iter().for_each(|label| t.signal(label, Signal::SIGSTOP));
+        entries.iter().for_each(|label| t.send_signal(label, Signal::SIGSTOP));
         tokio::time::sleep(500 * MS).await;
         t.write_config(version).await.unwrap();
         tokio::time::sleep(4_500 * MS).await;
-        entries.iter().for_each(|label| t.signal(label, Signal::SIGCONT));
+        entries.iter().for_each(|label| t.send_signal(label, Signal::SIGCONT));
         tokio::time::sleep(50 * MS).await;
         t.write_config(version + 1).await.unwrap();
         in_force(&t, balancers, version + 1).await.unwrap();
