--- a/src/fabric/mod.rs
+++ b/src/fabric/mod.rs
@@ -44,7 +44,7 @@
     /// How long an agent may take to accept or refuse the flow.
     open: Duration,
     /// How long the flow's agent may leave packets unacknowledged.
-    silence: Duration,
+    ack: Duration,
 }
 
 impl Timeouts {
@@ -52,7 +52,7 @@
         Self {
             rto: Duration::from_millis(settings.rto_ms),
             open: Duration::from_millis(settings.open_timeout_ms),
-            silence: Duration::from_millis(settings.ack_timeout_ms),
+            ack: Duration::from_millis(settings.ack_timeout_ms),
         }
     }
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs the fabric of a site until the process is told to stop.
+/// Runs the fabric of a site until SIGTERM.
 ///
 /// # Errors
 ///
@@ -94,10 +94,10 @@
     let socket =
         UdpSocket::bind(f.addr).await.with_context(|| format!("fabric: binding {}", f.addr))?;
     let balancers: Vec<SocketAddr> = settings.balancers.iter().map(|b| b.addr).collect();
-    let board = ProcessState::new("fabric".into(), Arc::default());
-    board.set_ready(true);
-    let admin_server = admin::Server::start(f.addr, board.clone()).await?;
-    let sprayer = Sprayer::new(socket, balancers.clone(), board.clone());
+    let process_state = ProcessState::new("fabric".into(), Arc::default());
+    process_state.set_ready(true);
+    let admin_server = admin::Server::start(f.addr, process_state.clone()).await?;
+    let sprayer = Sprayer::new(socket, balancers.clone(), process_state.clone());
     let flows: Flows = Rc::default();
     // Dropping the set aborts its tasks, also on an early return.
     let mut tasks = JoinSet::new();
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -51,7 +51,8 @@
     NoTarget,
     /// The owner named by the packet is not an agent of the profile's service.
     #[display("foreign_owner")]
-    ForeignOwner,
+    #[serde(rename = "ForeignOwner")]
+    WrongService,
     /// The packet belongs to a flow that this agent does not hold.
     #[display("unknown_flow")]
     UnknownFlow,
@@ -60,7 +61,8 @@
     OpenTimeout,
     /// The flow's peer acknowledged nothing for too long.
     #[display("silent")]
-    Silent,
+    #[serde(rename = "Silent")]
+    AckTimeout,
 }
 
 /// Why a step was retried.
@@ -84,18 +86,18 @@
     /// An agent returned an open, which was offered to the next one.
     #[display("bounced")]
     Bounced,
-    /// The agents of a service were asked for a flow's owner.
+    /// The agents of a service were queried for a flow's owner.
     #[display("owner_asked")]
-    OwnerAsked,
+    OwnerQueried,
     /// An open was not offered again because the retry budget was spent.
     #[display("budget_spent")]
     BudgetSpent,
     /// A call to the key-value service failed and was repeated.
     #[display("store_error")]
     StoreError,
-    /// A lease expired and a new one was granted.
+    /// A lease expired and a new one was requested.
     #[display("lease_lapsed")]
-    LeaseLapsed,
+    LeaseExpired,
     /// A watch fell behind the store's compacted history, and the keys were
     /// listed again.
     #[display("watch_compacted")]
@@ -246,7 +248,7 @@
 /// Records the time and the outcome of a call to the key-value service.
 pub fn record_store_call(call: &str, ok: bool, elapsed: Duration) {
     if ok {
-        process::record_store_answer();
+        process::record_store_response();
     }
     let attributes = [KeyValue::new("call", call.to_string()), KeyValue::new("ok", ok)];
     instruments().store_call_times.record(elapsed.as_secs_f64(), &attributes);
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes a packet that reached a target which does not hold its flow, and counts
+    /// Records a packet that reached a target which does not hold its flow, and counts
     /// the flow as misrouted once the thresholds are passed.
     fn count_misrouted(&mut self, seg: &Segment) {
         if seg.opens_flow() {
@@ -88,7 +88,7 @@
         if !class.idempotent {
             let count = self.executions.entry(flow.caller).or_default();
             *count += 1;
-            self.stats.duplicates += u32::from(*count == 2);
+            self.stats.duplicated += u32::from(*count == 2);
         }
         let factor = self.rng.random_range(0.5..1.5);
         let a = &self.agents[n];
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -30,7 +30,7 @@
         /// Why this agent was chosen.
         mode: ForwardMode,
     },
-    /// An agent tells a balancer the status of a flow.
+    /// The status of a flow, sent by an agent to a balancer.
     #[serde(rename = "Note")]
     FlowUpdate(FlowUpdate),
     /// A balancer queries an agent for flows that its target may hold.
@@ -116,7 +116,7 @@
     /// The flow.
     pub flow: Flow,
     /// Acknowledgement number of the caller's last packet. If two targets answered
-    /// copies of one open, it tells which of them the caller continues with.
+    /// copies of one open, it shows which of them the caller continues with.
     pub ack: Option<u32>,
 }
 
--- a/src/tracker/admission.rs
+++ b/src/tracker/admission.rs
@@ -13,7 +13,8 @@
 use crate::wire::Offer;
 
 impl FlowTracker {
-    /// Load of the agent, as [`place::load`]; `UNABLE` if it accepts no flows.
+    /// Load of the agent, as [`placement::backlog_load`]; [`UNAVAILABLE_LOAD`] if it
+    /// accepts no flows.
     pub(super) fn load(&self, now: Instant) -> u32 {
         let Some(t) = &self.target else { return UNAVAILABLE_LOAD };
         if self.stopping || self.ends_at.is_some() || !t.accepts_flows() || self.is_full(now) {
@@ -27,12 +28,12 @@
         )
     }
 
-    /// Whether some balancers may not know the agent yet.
-    fn is_unseen(&self, now: Instant) -> bool {
+    /// Whether some balancers may not have read the agent's registration yet.
+    fn awaits_registration(&self, now: Instant) -> bool {
         self.newly_listed
             && self
                 .first_report
-                .is_none_or(|at| now.duration_since(at) < self.policy.announce_delay)
+                .is_none_or(|at| now.duration_since(at) < self.policy.registration_delay)
     }
 
     /// Whether the target returned an open a short time ago.
@@ -77,8 +78,8 @@
             self.remove_flow(flow);
         }
         let admit = if *open.service != *self.service {
-            Admission::Refuse(Refusal::ForeignOwner)
-        } else if self.is_unseen(now) {
+            Admission::Refuse(Refusal::WrongService)
+        } else if self.awaits_registration(now) {
             Admission::Refuse(Refusal::NoTarget)
         } else {
             self.admit(open, now)
@@ -143,7 +144,7 @@
     ) {
         metrics::count_refusal(reason);
         log::info!(
-            event = events::OPEN_DECLINED, flow:% = flow, reason:% = reason,
+            event = events::OPEN_REFUSED, flow:% = flow, reason:% = reason,
             waiting = self.waiting, flows = self.flows.len();
             "open refused"
         );
--- a/src/tracker/lifecycle.rs
+++ b/src/tracker/lifecycle.rs
@@ -38,7 +38,7 @@
                 *current = Some(next);
                 self.target_ended = false;
                 self.ends_at = None;
-                if std::mem::take(&mut self.end_announced) {
+                if std::mem::take(&mut self.end_reported) {
                     // Until the store lists this incarnation, balancers that know of the
                     // end treat a silent agent's flows as lost.
                     self.newly_listed = true;
@@ -83,9 +83,9 @@
         false
     }
 
-    /// Hands over flow ownership before a planned stop: tells another agent that this
-    /// one, at `own_addr`, owns its open flows, and tells the owners named in its hints
-    /// that they own theirs. Sends one datagram per flow.
+    /// Sends owner hints before a planned stop, one datagram per flow: to another agent,
+    /// that this one, at `own_addr`, owns its open flows, and to the owners named in
+    /// received hints, that they own theirs.
     ///
     /// The next process starts without flow state. If the balancers restart as well,
     /// they learn from the hints which agent to try first.
--- a/src/tracker/mod.rs
+++ b/src/tracker/mod.rs
@@ -84,13 +84,13 @@
     /// Whether the target sent on a flow that this process did not see open, which
     /// shows that a previous process accepted flows for the current incarnation.
     inherited: bool,
-    /// Whether balancers may not know yet that the agent accepts flows: the store did
-    /// not list it before, or it announced that its target ended.
+    /// Whether balancers may not know yet that the agent accepts flows: it was not
+    /// registered before, or it reported that its target ended.
     newly_listed: bool,
     /// Whether the agent has notified a balancer that its target ended.
-    end_announced: bool,
-    /// When the target's first report arrived; set anew by the first report after an
-    /// announced end.
+    end_reported: bool,
+    /// When the target's first report arrived; reset by the first report after an
+    /// end that balancers were notified of.
     first_report: Option<Instant>,
     /// When to probe the target's port, unless a packet or report of the target arrives
     /// earlier.
@@ -123,7 +123,7 @@
             stopping: false,
             inherited: false,
             newly_listed: false,
-            end_announced: false,
+            end_reported: false,
             first_report: None,
             probe_at: None,
         }
@@ -228,7 +228,7 @@
                 if **service == *self.service {
                     self.handle_forward(from, *mode, &ReceivedPacket { seg, packet, now }, out);
                 } else {
-                    metrics::count_refusal(Refusal::ForeignOwner);
+                    metrics::count_refusal(Refusal::WrongService);
                 }
             }
             (Message::Query(query), _) => self.answer_query(from, query, now, out),
@@ -237,7 +237,7 @@
                 let load = self.load(now);
                 out.send_message(from, &Message::Pong { service: &self.service, load }, &[]);
                 if self.target_ended {
-                    self.end_announced = true;
+                    self.end_reported = true;
                     out.send_message(from, &Message::TargetEnded, &[]);
                 }
             }
--- a/src/tracker/queries.rs
+++ b/src/tracker/queries.rs
@@ -18,7 +18,7 @@
         out: &mut impl Transmit,
     ) {
         if *query.service != *self.service {
-            metrics::count_refusal(Refusal::ForeignOwner);
+            metrics::count_refusal(Refusal::WrongService);
             return;
         }
         let mut answers = Vec::with_capacity(query.flows.len());
@@ -53,7 +53,7 @@
     /// hold it.
     pub(super) fn denial_status(&mut self) -> Option<FlowStatus> {
         if self.target_ended {
-            self.end_announced = true;
+            self.end_reported = true;
             return Some(FlowStatus::TargetEnded);
         }
         self.target.as_ref().is_some_and(Target::all_flows_known).then_some(FlowStatus::Unknown)
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -262,7 +262,7 @@
 
 /// An open offered to `first` alone.
 pub fn open(first: SocketAddrV4, aged: bool) -> Open<'static> {
-    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Take };
+    let offer = Offer { first, second: None, stage: jujubepost::wire::OfferStage::Assign };
     Open { service: SERVICE, max_flows: 2_000, aged, offer, reply_to: balancer() }
 }
 
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -22,12 +22,12 @@
 
 /// Checks what every run guarantees: no request runs twice or reaches another service.
 fn assert_isolated_and_run_once(r: &Report) {
-    assert_eq!(r.duplicates, 0, "ran twice: {r}");
-    assert_eq!(r.foreign, 0, "another service's request: {r}");
+    assert_eq!(r.duplicated, 0, "ran twice: {r}");
+    assert_eq!(r.misrouted, 0, "another service's request: {r}");
 }
 
 async fn stop_trial(name: &str, trial: Trial) {
-    assert_eq!(trial.down().await, Vec::<String>::new(), "processes that did not stop in time");
+    assert_eq!(trial.shut_down().await, Vec::<String>::new(), "processes that did not stop in time");
     let _ = std::fs::remove_dir_all(test_dir(name));
 }
 
@@ -116,9 +116,9 @@
                 tokio::time::sleep(300 * MS).await;
                 trial.launch(label)?;
             }
-            trial.signal("sidecar-1-1", Signal::SIGSTOP);
+            trial.send_signal("sidecar-1-1", Signal::SIGSTOP);
             tokio::time::sleep(1_000 * MS).await;
-            trial.signal("sidecar-1-1", Signal::SIGCONT);
+            trial.send_signal("sidecar-1-1", Signal::SIGCONT);
             // All agents of zone 0 at once: only the balancers still know the flows.
             let agents: Vec<_> = (0..3).map(|n| format!("sidecar-0-{n}")).collect();
             agents.iter().for_each(|label| trial.kill(label));
@@ -205,11 +205,11 @@
     let trial = start_trial("freeze", plan).await;
     let entries: Vec<_> = trial.labels().into_iter().filter(|l| l.starts_with("entry")).collect();
     for version in [2, 4] {
-        entries.iter().for_each(|label| trial.signal(label, Signal::SIGSTOP));
+        entries.iter().for_each(|label| trial.send_signal(label, Signal::SIGSTOP));
         tokio::time::sleep(500 * MS).await;
         trial.write_config(version).await.unwrap();
         tokio::time::sleep(4_500 * MS).await;
-        entries.iter().for_each(|label| trial.signal(label, Signal::SIGCONT));
+        entries.iter().for_each(|label| trial.send_signal(label, Signal::SIGCONT));
         tokio::time::sleep(50 * MS).await;
         trial.write_config(version + 1).await.unwrap();
         wait_in_force(&trial, balancers, version + 1).await.unwrap();
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -17,7 +17,7 @@
 fn run(p: &Pattern, seed: u64) -> Stats {
     let stats = simulate(p, &Policy::default(), seed);
     assert_eq!(
-        (stats.broken, stats.misrouted, stats.duplicates),
+        (stats.broken, stats.misrouted, stats.duplicated),
         (0, 0, 0),
         "{} seed {seed}",
         p.name
--- a/tests/tracker.rs
+++ b/tests/tracker.rs
@@ -76,7 +76,7 @@
     let m =
         Message::Open(jujubepost::protocol::Open { service: "fieldlog", ..open(agent(1), false) });
     tracker.handle_message(balancer(), &m, Some(&syn(1)), b"syn", now, &mut out);
-    assert_eq!(out.statuses(), [FlowStatus::Refused(Refusal::ForeignOwner)]);
+    assert_eq!(out.statuses(), [FlowStatus::Refused(Refusal::WrongService)]);
     let m = Message::Forward { service: "fieldlog", mode: ForwardMode::Try };
     tracker.handle_message(balancer(), &m, Some(&caller_data(1, 1, 1, 1)), b"data", now, &mut out);
     let m = Message::Query(Query { service: "fieldlog", flows: Vec::new() });
