--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -11,7 +11,7 @@
 const DATAGRAM_COST: Duration = Duration::from_micros(15);
 
 /// Capacity of a socket's receive buffer, in datagrams; more are dropped.
-const QUEUE: usize = 256;
+const RECEIVE_BUFFER_DATAGRAMS: usize = 256;
 
 /// Datagrams read from each socket per wake-up.
 const READ_BATCH: usize = 64;
@@ -86,7 +86,7 @@
     /// Appends a packet to its receive buffer, or drops it if the buffer is full
     /// or the process is down.
     pub fn enqueue_packet(&mut self, packet: Vec<u8>) {
-        if self.up && self.packets.len() < QUEUE {
+        if self.up && self.packets.len() < RECEIVE_BUFFER_DATAGRAMS {
             self.packets.push_back(packet);
         }
     }
@@ -94,7 +94,7 @@
     /// Appends a message to its receive buffer, or drops it if the buffer is full
     /// or the process is down.
     pub fn enqueue_message(&mut self, from: SocketAddrV4, message: Vec<u8>) {
-        if self.up && self.messages.len() < QUEUE {
+        if self.up && self.messages.len() < RECEIVE_BUFFER_DATAGRAMS {
             self.messages.push_back((from, message));
         }
     }
--- a/src/model/lifecycle.rs
+++ b/src/model/lifecycle.rs
@@ -8,17 +8,17 @@
 use super::outbox::Outbox;
 use super::pattern::Change;
 use super::simulation::{
-    BOOT_TIME, Event, PROBE_INTERVAL, REPORT_INTERVAL, REPORT_RETRY, STORE_DELAY, Simulation,
-    agent_addr,
+    Event, FIRST_READ_DELAY, PROBE_INTERVAL, REPORT_INTERVAL, REPORT_RETRY, STORE_DELAY,
+    Simulation, agent_addr,
 };
 use crate::tracker::Report;
 
 /// How long a balancer keeps forwarding after a planned stop begins.
-const LINGER_TIME: Duration = Duration::from_millis(1_500);
+const BALANCER_STOP_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long an agent runs on after a planned stop begins, while its target
 /// completes requests.
-const STOP_TIME: Duration = Duration::from_millis(200);
+const AGENT_STOP_TIME: Duration = Duration::from_millis(200);
 
 /// How long an agent keeps answering after its target has exited for good.
 const RETIRE_LINGER: Duration = Duration::from_millis(600);
@@ -30,14 +30,14 @@
 const POWER_ON_JITTER: Duration = Duration::from_millis(300);
 
 impl Simulation {
-    pub(super) fn handle_lifecycle(&mut self, event: Event) {
+    pub(super) fn handle_site_event(&mut self, event: Event) {
         match event {
-            Event::TargetReport(n, incarnation) => self.report_target(n, incarnation),
+            Event::TargetReport(n, incarnation) => self.deliver_report(n, incarnation),
             Event::ReadinessProbe => self.probe_readiness(),
             Event::ReadStore(n, incarnation) => self.read_store_or_retry(n, incarnation),
             Event::StopBalancer(n, incarnation) => self.stop_balancer(n, incarnation),
             Event::StopAgent(n) => self.stop_agent(n),
-            Event::EndAgent(n, incarnation) => self.end_agent(n, incarnation),
+            Event::ExitAgent(n, incarnation) => self.exit_agent(n, incarnation),
             Event::RetireTarget(n) => self.retire_target(n),
             Event::RemoveAgent(n) => self.agents[n].host.stop(),
             Event::StartBalancer(n) => self.start_balancer(n),
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Handles a target's report; it is repeated sooner while the agent is down.
-    fn report_target(&mut self, n: usize, incarnation: u64) {
+    /// Delivers a target's report to its agent and schedules the next one, sooner while
+    /// the agent is down.
+    fn deliver_report(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
         if !a.target.up || a.target.incarnation != incarnation {
             return;
@@ -65,7 +66,7 @@
             if std::mem::replace(&mut self.agents[n].registered_incarnation, incarnation)
                 != incarnation
             {
-                self.notify_store_change();
+                self.schedule_store_reads();
             }
             self.wake_agent(n, self.now);
         }
@@ -103,7 +104,7 @@
         let host = &mut self.balancers[n].host;
         host.start(self.now);
         let incarnation = host.incarnation;
-        self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, incarnation));
+        self.events.push(self.now + FIRST_READ_DELAY, Event::ReadStore(n, incarnation));
     }
 
     fn start_agent(&mut self, n: usize) {
@@ -135,7 +136,7 @@
     }
 
     /// Number of processes that a share of `all` processes comes to; at least one.
-    fn count_of(share: f64, all: usize) -> usize {
+    fn processes_in_share(share: f64, all: usize) -> usize {
         ((share * all as f64).round() as usize).clamp(1, all)
     }
 
@@ -144,13 +145,13 @@
         match change {
             Change::PowerLoss(_) => self.lose_power(ends),
             Change::KillBalancers(share, _) => {
-                for n in 0..Self::count_of(share, self.balancers.len()) {
+                for n in 0..Self::processes_in_share(share, self.balancers.len()) {
                     self.balancers[n].host.stop();
                     self.events.push(ends, Event::StartBalancer(n));
                 }
             }
             Change::KillAgents(share, _) => {
-                for n in 0..Self::count_of(share, self.agents.len()) {
+                for n in 0..Self::processes_in_share(share, self.agents.len()) {
                     self.agents[n].host.stop();
                     self.events.push(ends, Event::StartAgent(n));
                 }
@@ -166,7 +167,7 @@
             Change::JoinBalancers => {
                 for zone in 0..self.site.zones {
                     let n = self.add_balancer(zone);
-                    self.events.push(self.now + BOOT_TIME, Event::ReadStore(n, 1));
+                    self.events.push(self.now + FIRST_READ_DELAY, Event::ReadStore(n, 1));
                 }
             }
             Change::RestartAgents(gap) => {
@@ -175,13 +176,13 @@
                 }
             }
             Change::RetireTargets(share, gap) => {
-                for n in 0..Self::count_of(share, self.agents.len()) {
+                for n in 0..Self::processes_in_share(share, self.agents.len()) {
                     self.events.push(self.now + gap * n as u32, Event::RetireTarget(n));
                 }
             }
             Change::CrashTargets(share, _) => {
-                for n in 0..Self::count_of(share, self.agents.len()) {
-                    self.agents[n].target.crash();
+                for n in 0..Self::processes_in_share(share, self.agents.len()) {
+                    self.agents[n].target.stop();
                     self.events.push(ends, Event::StartTarget(n));
                 }
             }
@@ -206,7 +207,7 @@
     }
 
     fn set_slowdown(&mut self, share: f64, factor: f64) {
-        for n in 0..Self::count_of(share, self.agents.len()) {
+        for n in 0..Self::processes_in_share(share, self.agents.len()) {
             self.agents[n].target.slowdown = factor;
         }
     }
@@ -218,25 +219,25 @@
         }
     }
 
-    /// All processes exit and restart shortly after `back`.
-    fn lose_power(&mut self, back: Instant) {
+    /// All processes exit and restart shortly after `restored_at`.
+    fn lose_power(&mut self, restored_at: Instant) {
         for n in 0..self.balancers.len() {
             self.balancers[n].host.stop();
-            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            let at = restored_at + POWER_ON_JITTER.mul_f64(self.rng.random());
             self.events.push(at, Event::StartBalancer(n));
         }
         for n in 0..self.agents.len() {
             self.agents[n].host.stop();
-            self.agents[n].target.crash();
-            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            self.agents[n].target.stop();
+            let at = restored_at + POWER_ON_JITTER.mul_f64(self.rng.random());
             self.events.push(at, Event::StartTarget(n));
-            let at = back + POWER_ON_JITTER.mul_f64(self.rng.random());
+            let at = restored_at + POWER_ON_JITTER.mul_f64(self.rng.random());
             self.events.push(at, Event::StartAgent(n));
         }
     }
 
     /// Planned stop of a balancer: the first event makes it not ready, the second,
-    /// [`LINGER_TIME`] later, ends the process.
+    /// [`BALANCER_STOP_TIME`] later, ends the process.
     fn stop_balancer(&mut self, n: usize, incarnation: u64) {
         let b = &mut self.balancers[n];
         if b.host.incarnation != incarnation {
@@ -244,7 +245,7 @@
         }
         if b.steering.is_ready() {
             b.steering.begin_shutdown();
-            self.events.push(self.now + LINGER_TIME, Event::StopBalancer(n, incarnation));
+            self.events.push(self.now + BALANCER_STOP_TIME, Event::StopBalancer(n, incarnation));
         } else {
             b.host.stop();
             self.events.push(self.now + RESTART_DELAY, Event::StartBalancer(n));
@@ -259,10 +260,10 @@
         }
         a.tracker.stop_accepting();
         let incarnation = a.host.incarnation;
-        self.events.push(self.now + STOP_TIME, Event::EndAgent(n, incarnation));
+        self.events.push(self.now + AGENT_STOP_TIME, Event::ExitAgent(n, incarnation));
     }
 
-    fn end_agent(&mut self, n: usize, incarnation: u64) {
+    fn exit_agent(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
         if a.host.incarnation != incarnation {
             return;
@@ -280,16 +281,16 @@
         let mut out = Outbox::default();
         let a = &mut self.agents[n];
         a.removed = true;
-        a.target.crash();
+        a.target.stop();
         a.tracker.mark_target_ended(&mut out);
         self.flush_agent(n, out, self.now);
         self.events.push(self.now + RETIRE_LINGER, Event::RemoveAgent(n));
-        self.notify_store_change();
+        self.schedule_store_reads();
     }
 
     /// Schedules a read of the store by every balancer, after an agent's entry has
     /// changed.
-    fn notify_store_change(&mut self) {
+    fn schedule_store_reads(&mut self) {
         for b in 0..self.balancers.len() {
             let incarnation = self.balancers[b].host.incarnation;
             self.events.push(self.now + STORE_DELAY, Event::ReadStore(b, incarnation));
--- a/src/model/network.rs
+++ b/src/model/network.rs
@@ -6,7 +6,7 @@
 
 use super::outbox::{Outbox, Outgoing};
 use super::simulation::{
-    Balancer, Event, LOCAL_DELAY, Simulation, agent_addr, balancer_addr, peer_index,
+    Balancer, Event, LOCAL_DELAY, Simulation, agent_addr, balancer_addr, process_index,
 };
 use super::site::FlowHash;
 use crate::flow::{Flow, Segment};
@@ -26,8 +26,8 @@
         if a == b { INTRA_ZONE_DELAY } else { INTER_ZONE_DELAY }
     }
 
-    fn peer_zone(&self, addr: SocketAddrV4) -> u8 {
-        match peer_index(addr) {
+    fn process_zone(&self, addr: SocketAddrV4) -> u8 {
+        match process_index(addr) {
             (true, n) => self.balancers[n].zone,
             (false, n) => self.agents[n].zone,
         }
@@ -57,12 +57,12 @@
     fn send_from_balancer(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.balancers[n].zone;
         match outgoing {
-            Outgoing::Peer { to, bytes, is_forward } => {
+            Outgoing::Message { to, bytes, is_forward } => {
                 self.count_message(is_forward, bytes.len());
                 let link = &mut self.balancers[n].host.egress;
                 if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
-                    let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
-                    self.events.push(arrival, Event::ToPeer(to, balancer_addr(n), bytes));
+                    let arrival = sent_at + Self::zone_delay(zone, self.process_zone(to));
+                    self.events.push(arrival, Event::ToProcess(to, balancer_addr(n), bytes));
                 }
             }
             Outgoing::Reset(bytes) => {
@@ -78,12 +78,12 @@
     fn send_from_agent(&mut self, n: usize, outgoing: Outgoing, at: Instant) {
         let zone = self.agents[n].zone;
         match outgoing {
-            Outgoing::Peer { to, bytes, is_forward } => {
+            Outgoing::Message { to, bytes, is_forward } => {
                 self.count_message(is_forward, bytes.len());
                 let link = &mut self.agents[n].host.egress;
                 if let Some(sent_at) = link.send(bytes.len(), self.loss_rate, at, &mut self.rng) {
-                    let arrival = sent_at + Self::zone_delay(zone, self.peer_zone(to));
-                    self.events.push(arrival, Event::ToPeer(to, agent_addr(n), bytes));
+                    let arrival = sent_at + Self::zone_delay(zone, self.process_zone(to));
+                    self.events.push(arrival, Event::ToProcess(to, agent_addr(n), bytes));
                 }
             }
             Outgoing::Target(packet) => {
@@ -102,8 +102,8 @@
         }
     }
 
-    pub(super) fn deliver_to_peer(&mut self, to: SocketAddrV4, from: SocketAddrV4, bytes: Vec<u8>) {
-        match peer_index(to) {
+    pub(super) fn deliver_message(&mut self, to: SocketAddrV4, from: SocketAddrV4, bytes: Vec<u8>) {
+        match process_index(to) {
             (true, n) => {
                 let link = &mut self.balancers[n].host.ingress;
                 // The message passes the VM's inbound link before it can be read.
--- a/src/model/outbox.rs
+++ b/src/model/outbox.rs
@@ -12,12 +12,12 @@
 #[derive(Clone, Debug)]
 pub enum Outgoing {
     /// A message to a balancer or agent.
-    Peer {
+    Message {
         /// Destination.
         to: SocketAddrV4,
         /// The encoded message, followed by the packet it carries, if any.
         bytes: Vec<u8>,
-        /// Whether it forwards a packet to the agent that owns its flow.
+        /// Whether it forwards a packet to the agent that owns the packet's flow.
         is_forward: bool,
     },
     /// A packet to the target.
@@ -37,7 +37,7 @@
         let mut bytes = Vec::new();
         let is_forward = message.is_forward_to_owner();
         match protocol::encode(message, packet, &mut bytes) {
-            Ok(()) => self.0.push(Outgoing::Peer { to, bytes, is_forward }),
+            Ok(()) => self.0.push(Outgoing::Message { to, bytes, is_forward }),
             Err(e) => log::error!(to:% = to, error:% = e; "message could not be encoded; dropped"),
         }
     }
--- a/src/model/pattern.rs
+++ b/src/model/pattern.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// A named scenario to simulate.
+/// A named scenario: a site, its load, and the changes during a run.
 #[derive(Clone, Debug)]
 pub struct Pattern {
     /// Unique name, as on the command line and in reports.
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -40,8 +40,8 @@
 /// time for which changes are batched.
 pub(super) const STORE_DELAY: Duration = Duration::from_millis(320);
 
-/// Delay from the start of a process until it has read the store.
-pub(super) const BOOT_TIME: Duration = Duration::from_millis(60);
+/// Delay from the start of a balancer until it has first read the store.
+pub(super) const FIRST_READ_DELAY: Duration = Duration::from_millis(60);
 
 /// Link bandwidth of an agent's VM, in Mbit/s.
 pub(super) const AGENT_MBPS: f64 = 1_000.0;
@@ -50,15 +50,16 @@
 /// complete.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// A simulation event. A `usize` is the index of a balancer, or of an agent and
-/// its target; a `u64` is the incarnation of the process for which the event was
-/// scheduled.
+/// A simulation event. Unless its variant says otherwise, a `usize` is the index of a
+/// balancer, or of an agent and its target; a `u64` is the incarnation of the process
+/// for which the event was scheduled.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A caller's packet arrives at a balancer.
     ToBalancer(usize, Vec<u8>),
-    /// A message arrives: destination, source and encoded bytes.
-    ToPeer(SocketAddrV4, SocketAddrV4, Vec<u8>),
+    /// A message between balancers and agents arrives: destination, source and encoded
+    /// bytes.
+    ToProcess(SocketAddrV4, SocketAddrV4, Vec<u8>),
     /// A packet arrives at a target.
     ToTarget(usize, Vec<u8>),
     /// A packet from a target arrives at its agent.
@@ -77,7 +78,7 @@
     Retransmit(usize, Timer),
     /// A timer of the caller at an address, with the caller's generation.
     CallerStep(SocketAddrV4, u32, Step),
-    /// The next request of an open-loop class begins.
+    /// The next request of an open-loop class, given by its index, begins.
     Arrival(usize),
     /// A target's report is due.
     TargetReport(usize, u64),
@@ -89,8 +90,8 @@
     StopBalancer(usize, u64),
     /// An agent begins a planned stop.
     StopAgent(usize),
-    /// A stopping agent hands its flows over and exits.
-    EndAgent(usize, u64),
+    /// A stopping agent names its flows' owners to other agents and exits.
+    ExitAgent(usize, u64),
     /// A target exits for good.
     RetireTarget(usize),
     /// The agent of a retired target exits, and its VM is removed.
@@ -139,10 +140,11 @@
 pub(super) struct Agent {
     pub(super) host: Host,
     pub(super) tracker: FlowTracker,
+    /// Index in [`Site::services`].
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
-    /// Epoch of the target that the agent's store entry names.
+    /// Incarnation of the target that the agent's store entry names.
     pub(super) registered_incarnation: u64,
     /// A probe of the target's port is in progress.
     pub(super) probing: bool,
@@ -192,7 +194,8 @@
     pub(super) stats: Stats,
 }
 
-/// Simulates a pattern under a policy. The same seed gives the same result.
+/// Simulates the site, load and changes of `pattern` under `policy`. The same seed
+/// gives the same result.
 #[must_use]
 pub fn simulate(pattern: &Pattern, policy: &Policy, seed: u64) -> Stats {
     let mut sim = Simulation::new(&pattern.site, policy, seed);
@@ -210,23 +213,30 @@
     sim.stats
 }
 
-fn vm_ip(role: u8, base: u8, n: usize) -> Ipv4Addr {
+/// Second octet of the addresses of balancer VMs.
+const BALANCER_OCTET: u8 = 9;
+
+/// Second octet of the addresses of agent VMs.
+const AGENT_OCTET: u8 = 1;
+
+/// Address of VM `n` of a role, counted from 10.`role`.`first_octet`.0.
+fn vm_ip(role: u8, first_octet: u8, n: usize) -> Ipv4Addr {
     // No site has 65,536 VMs of one role.
-    Ipv4Addr::new(10, role, base + (n >> 8) as u8, (n & 0xff) as u8)
+    Ipv4Addr::new(10, role, first_octet + (n >> 8) as u8, (n & 0xff) as u8)
 }
 
 pub(super) fn balancer_addr(n: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(vm_ip(9, 0, n), 7_720)
+    SocketAddrV4::new(vm_ip(BALANCER_OCTET, 0, n), 7_720)
 }
 
 pub(super) fn agent_addr(n: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(vm_ip(1, 0, n), 7_720)
+    SocketAddrV4::new(vm_ip(AGENT_OCTET, 0, n), 7_720)
 }
 
 /// Index of the process at `addr`, and whether it is a balancer.
-pub(super) fn peer_index(addr: SocketAddrV4) -> (bool, usize) {
+pub(super) fn process_index(addr: SocketAddrV4) -> (bool, usize) {
     let [_, role, high, low] = addr.ip().octets();
-    (role == 9, usize::from(high) << 8 | usize::from(low))
+    (role == BALANCER_OCTET, usize::from(high) << 8 | usize::from(low))
 }
 
 /// Service address of a request class.
@@ -251,7 +261,7 @@
                 self.balancers[n].host.enqueue_packet(packet);
                 self.wake_balancer(n, self.now);
             }
-            Event::ToPeer(to, from, bytes) => self.deliver_to_peer(to, from, bytes),
+            Event::ToProcess(to, from, bytes) => self.deliver_message(to, from, bytes),
             Event::ToTarget(n, packet) => self.deliver_to_target(n, &packet),
             Event::FromTarget(n, packet) => {
                 self.agents[n].host.enqueue_packet(packet);
@@ -267,7 +277,7 @@
                 self.run_caller_step(addr, generation, step)
             }
             Event::Arrival(class) => self.next_arrival(class),
-            other => self.handle_lifecycle(other),
+            other => self.handle_site_event(other),
         }
     }
 
@@ -332,8 +342,8 @@
         }
         for bytes in &mut packets {
             if let Ok(seg) = packet::decode(bytes) {
-                let clear = packet::clear_bounced;
-                a.tracker.handle_target_packet(&seg, bytes, self.now, &mut out, clear);
+                let clear_bounced = packet::clear_bounced;
+                a.tracker.handle_target_packet(&seg, bytes, self.now, &mut out, clear_bounced);
             }
         }
         a.tracker.tick(self.now, &mut out);
@@ -349,7 +359,7 @@
         }
     }
 
-    /// Tells an agent the result of its probe: target up but slow, or crashed.
+    /// Tells an agent the result of its probe: the target is slow, or has ended.
     fn finish_port_probe(&mut self, n: usize, incarnation: u64) {
         let a = &mut self.agents[n];
         if a.host.incarnation != incarnation {
--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -245,9 +245,9 @@
         for class in &mut self.classes {
             class.workload = match class.workload {
                 // The product is positive and far below `u32::MAX`.
-                Workload::ClosedLoop { users, think_time: pause } => Workload::ClosedLoop {
+                Workload::ClosedLoop { users, think_time } => Workload::ClosedLoop {
                     users: (f64::from(users) * factor).round() as u32,
-                    think_time: pause,
+                    think_time,
                 },
                 Workload::OpenLoop { rate } => Workload::OpenLoop { rate: rate * factor },
             };
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -69,7 +69,8 @@
     pub warm_at: Instant,
     slots: u32,
     queue_limit: usize,
-    busy: u32,
+    /// Slots in use.
+    busy_slots: u32,
     /// Flows whose requests wait for a slot.
     queue: VecDeque<Flow>,
     /// Flows that the target holds.
@@ -91,7 +92,7 @@
             warm_at: now,
             slots,
             queue_limit,
-            busy: 0,
+            busy_slots: 0,
             queue: VecDeque::new(),
             flows: HashMap::new(),
             isn,
@@ -99,9 +100,9 @@
     }
 
     /// Ends the process and drops its flows.
-    pub fn crash(&mut self) {
+    pub fn stop(&mut self) {
         self.up = false;
-        self.busy = 0;
+        self.busy_slots = 0;
         self.queue.clear();
         self.flows.clear();
     }
@@ -175,8 +176,8 @@
     /// Gives the request of `flow` a slot, queues it, or sheds it if the queue is
     /// full.
     pub fn admit(&mut self, flow: Flow) -> Admission {
-        if self.busy < self.slots {
-            self.busy += 1;
+        if self.busy_slots < self.slots {
+            self.busy_slots += 1;
             return Admission::Started;
         }
         if self.queue.len() >= self.queue_limit {
@@ -190,7 +191,7 @@
     pub fn release_slot(&mut self) -> Option<Flow> {
         let next = self.queue.pop_front();
         if next.is_none() {
-            self.busy = self.busy.saturating_sub(1);
+            self.busy_slots = self.busy_slots.saturating_sub(1);
         }
         next
     }
