--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 //!
 //! Every error names the operation with its key, and the service's address. A
 //! write whose response is lost returns an error although it may have taken
-//! effect; callers that must know read the key back.
+//! effect; code that must know reads the key back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,6 +57,11 @@
         self.addr
     }
 
+    /// Error context of a response that cannot be decoded.
+    fn decoding(&self, operation: &str) -> String {
+        format!("{operation} at store {}: decoding response", self.addr)
+    }
+
     async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -103,8 +108,12 @@
             RangeRequest { key: B64.encode(prefix), range_end: B64.encode(prefix_end(prefix)) };
         let operation = format!("list {prefix}");
         let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &operation).await?;
-        let kvs =
-            res.kvs.iter().map(decode_kv).collect::<anyhow::Result<_>>().context(operation)?;
+        let kvs = res
+            .kvs
+            .iter()
+            .map(decode_kv)
+            .collect::<anyhow::Result<_>>()
+            .with_context(|| self.decoding(&operation))?;
         Ok((res.header.revision, kvs))
     }
 
@@ -117,7 +126,7 @@
         let req = RangeRequest { key: B64.encode(key), range_end: String::new() };
         let operation = format!("get {key}");
         let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &operation).await?;
-        res.kvs.first().map(decode_kv).transpose().context(operation)
+        res.kvs.first().map(decode_kv).transpose().with_context(|| self.decoding(&operation))
     }
 
     /// Writes one key under `lease` (0 for none).
@@ -222,7 +231,7 @@
         let r = res.result;
         let mut changes = Vec::with_capacity(r.events.len());
         for ev in &r.events {
-            let kv = decode_kv(&ev.kv).with_context(|| operation.clone())?;
+            let kv = decode_kv(&ev.kv).with_context(|| self.decoding(&operation))?;
             changes.push(if ev.kind == "DELETE" {
                 Change::Delete { key: kv.key, rev: kv.rev }
             } else {
@@ -234,7 +243,8 @@
 }
 
 fn decode_kv(raw: &KeyValue) -> anyhow::Result<Kv> {
-    let key = String::from_utf8(B64.decode(&raw.key)?)?;
-    let value = B64.decode(&raw.value)?;
+    let key = B64.decode(&raw.key).context("key is not base64")?;
+    let key = String::from_utf8(key).context("key is not UTF-8")?;
+    let value = B64.decode(&raw.value).with_context(|| format!("value of {key} is not base64"))?;
     Ok(Kv { key: Arc::from(key), value, rev: raw.mod_revision, lease: raw.lease })
 }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -69,9 +69,9 @@
         self.rev = self.rev.max(rev);
     }
 
-    /// Whether a change of `key` at `rev` is at least as new as its entry. The
-    /// pages of a listing may be newer than the revision from which it is
-    /// watched; the watch then repeats older changes, which must not be applied.
+    /// Whether a change of `key` at `rev` is at least as new as its entry. A
+    /// listing may contain entries newer than its revision; the watch from that
+    /// revision then returns older changes, which must not be applied.
     fn accepts(&self, key: &str, rev: i64) -> bool {
         self.keys.get(key).is_none_or(|kv| kv.rev <= rev)
     }
@@ -99,7 +99,7 @@
 
     /// A copy of just the keys under `prefix`.
     #[must_use]
-    pub fn with_prefix(&self, prefix: &str) -> Self {
+    pub fn filter_prefix(&self, prefix: &str) -> Self {
         let keys = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
         Self { rev: self.rev, keys: keys.map(|(k, v)| (k.clone(), v.clone())).collect() }
     }
@@ -117,21 +117,22 @@
     /// When the peers are asked for their copies.
     pub peer_fallback: PeerFallback,
     /// Pause after a change before the next watch call. A longer pause delays
-    /// changes but returns more of them per call, as when many agents start.
+    /// changes but returns more of them per call, so that the start of many
+    /// agents causes few calls.
     pub batch_delay: Duration,
-    /// Restarts the call in progress when notified: after the process was
-    /// suspended, its response may be outdated.
+    /// Restarts the call in progress when notified, because the call's response
+    /// may be outdated after the process was suspended.
     pub refresh: Arc<Notify>,
 }
 
 /// When a mirror asks its peers for their copies after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFallback {
-    /// Only while it has no copy. For users that take a missing announcement
+    /// Only while it has no copy. For code that takes a missing announcement
     /// for a dead process: a peer's newer copy may lack announcements whose
     /// leases lapsed in the outage.
     WhenEmpty,
-    /// After every failure. For users that probe processes themselves.
+    /// After every failure. For code that probes processes themselves.
     Always,
 }
 
@@ -150,10 +151,10 @@
 /// Keeps a copy current and calls `on_event` for each [`MirrorEvent`]; never
 /// returns.
 ///
-/// `scope` may return a narrower prefix that is enough to watch for the given
-/// copy. When it returns `None` again, everything is listed anew, as changes
+/// `choose_prefix` may return a narrower prefix that is enough to watch for the
+/// given copy. When it returns `None` again, everything is listed anew, as changes
 /// outside the narrower prefix were missed.
-pub async fn follow<K, S, F>(source: &Source<K>, scope: S, mut on_event: F)
+pub async fn follow<K, S, F>(source: &Source<K>, choose_prefix: S, mut on_event: F)
 where
     K: WatchStore,
     S: Fn(&Snapshot) -> Option<&'static str>,
@@ -164,7 +165,7 @@
     let mut needs_list = true;
     let mut recovering = true;
     loop {
-        let previous = std::mem::replace(&mut narrow_prefix, scope(&snapshot));
+        let previous = std::mem::replace(&mut narrow_prefix, choose_prefix(&snapshot));
         needs_list |= previous.is_some() && narrow_prefix.is_none();
         // While recovering, calls do not wait for changes, so that the first response
         // shows at once that the service works.
@@ -267,7 +268,7 @@
     let snapshots = futures_util::future::join_all(fetches).await;
     let mut updated = false;
     for peer_snapshot in snapshots.into_iter().flatten() {
-        updated |= snapshot.replace_if_newer(peer_snapshot.with_prefix(&source.prefix));
+        updated |= snapshot.replace_if_newer(peer_snapshot.filter_prefix(&source.prefix));
     }
     updated
 }
