--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -79,8 +79,7 @@
     }
 }
 
-/// Counts one flow in [`WaitingFlows`] while it waits; dropping it uncounts
-/// the flow.
+/// Counts one flow in [`WaitingFlows`] while it waits, and no longer once dropped.
 struct WaitingGuard {
     total: WaitingFlows,
     is_waiting: bool,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -41,8 +41,8 @@
 /// Runs the agent of target `name` until SIGTERM or SIGINT.
 ///
 /// On a signal it registers the target as stopping, accepts new flows for
-/// `grace_ms` while balancers learn of that, and then waits up to `stop_ms` for
-/// the open flows to end.
+/// `drain_grace_ms` while balancers learn of that, and then waits up to
+/// `stop_timeout_ms` for the open flows to end.
 ///
 /// # Errors
 ///
@@ -84,15 +84,17 @@
         target.agent_addr
     );
     let mut event_loop = EventLoop::new(agent.clone(), ended_rx);
-    let mut term = signal(SignalKind::terminate()).context("agent: signal")?;
-    let mut int = signal(SignalKind::interrupt()).context("agent: signal")?;
+    let mut term = signal(SignalKind::terminate())
+        .with_context(|| format!("agent {name}: installing the SIGTERM handler"))?;
+    let mut int = signal(SignalKind::interrupt())
+        .with_context(|| format!("agent {name}: installing the SIGINT handler"))?;
     tokio::select! {
         r = event_loop.run() => r?,
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
     registration.send_replace(encode_registration(&target, true)?);
-    drain_flows(&agent, &mut event_loop, settings).await;
+    finish_flows(&agent, &mut event_loop, settings).await;
     config_task.abort();
     lease_task.abort();
     let _ = config_task.await;
@@ -115,10 +117,11 @@
         agent: target.agent_addr,
         stopping,
     };
-    serde_json::to_vec(&rec).context("agent: encoding the registration")
+    serde_json::to_vec(&rec)
+        .with_context(|| format!("agent {}: encoding the registration", target.name))
 }
 
-/// Feeds the agent with packets from the balancers and with ended flows.
+/// Passes packets from the balancers, and ended flows, to the agent.
 struct EventLoop {
     agent: Rc<RefCell<Agent>>,
     sock: Rc<UdpSocket>,
@@ -139,7 +142,9 @@
     async fn step(&mut self) -> anyhow::Result<()> {
         tokio::select! {
             r = self.sock.recv_from(&mut self.buf) => {
-                let (n, _) = r.context("agent: receiving a packet")?;
+                let (n, _) = r.with_context(|| {
+                    format!("agent {}: receiving a packet", self.agent.borrow().target_name())
+                })?;
                 if let Ok(p) = wire::decode::<Packet>(&self.buf[..n]) {
                     self.agent.borrow_mut().handle_packet(p);
                 }
@@ -158,11 +163,12 @@
     }
 }
 
-/// Accepts new flows during the drain grace, then waits for the open ones to
-/// end, at most for the stop timeout.
-async fn drain_flows(agent: &RefCell<Agent>, event_loop: &mut EventLoop, settings: &Settings) {
+/// Shuts down gracefully: accepts new flows for `drain_grace_ms`, then refuses them
+/// and waits up to `stop_timeout_ms` for the open ones to end.
+async fn finish_flows(agent: &RefCell<Agent>, event_loop: &mut EventLoop, settings: &Settings) {
     let open = agent.borrow().flow_count();
-    log::info!("{} stopping; waiting for {open} open flows", events::AGENT_STOP);
+    let name = agent.borrow().target_name();
+    log::info!("{} agent {name} stopping; waiting for {open} open flows", events::AGENT_STOP);
     let start = Instant::now();
     let (grace, timeout) =
         (ms(settings.agent_timers.drain_grace_ms), ms(settings.agent_timers.stop_timeout_ms));
@@ -187,6 +193,7 @@
     let name = agent.borrow().target_name();
     mirror::follow(
         &source,
+        // Always watches the whole prefix.
         |_| None,
         |event| match event {
             MirrorEvent::Updated(snapshot) => {
@@ -196,7 +203,7 @@
             }
             MirrorEvent::StoreFailed(e) => {
                 log::warn!(
-                    "{} store call failed, keeping the last configuration: {e:#}",
+                    "{} agent {name}: store call failed, keeping the last configuration: {e:#}",
                     events::AGENT_STORE_UNREACHABLE
                 )
             }
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -23,10 +23,10 @@
 use crate::settings::{Settings, TargetSettings};
 use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 
-/// Pause in new flows after a failed connection to the target.
+/// How long new flows are refused after a failed connection to the target.
 const UNREACHABLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// One open flow, as the agent reaches its task.
+/// Handle to the task of an open flow.
 struct FlowHandle {
     owner: Owner,
     port: u16,
--- a/src/policy/agent.rs
+++ b/src/policy/agent.rs
@@ -7,7 +7,7 @@
 
 use super::millis;
 
-/// Settings of an agent. Durations are in milliseconds in the settings file.
+/// Policy of an agent. Durations are in milliseconds in the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AgentPolicy {
@@ -81,8 +81,8 @@
 
 impl AgentPolicy {
     pub(super) fn check(&self) -> anyhow::Result<()> {
-        for (field, part) in [("queue", self.queue_ratio), ("aged_queue", self.aged_queue_ratio)] {
-            if !(0.0..1e6).contains(&part) {
+        for (field, ratio) in [("queue", self.queue_ratio), ("aged_queue", self.aged_queue_ratio)] {
+            if !(0.0..1e6).contains(&ratio) {
                 bail!("field `policy.hold.{field}`: must not be negative");
             }
         }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -16,7 +16,7 @@
 /// Queries a second that a VM with one whole CPU core may send.
 const CORE_QUERY_RATE: f64 = 8_000.0;
 
-/// Settings of a balancer. Durations are in milliseconds in the settings file.
+/// Policy of a balancer. Durations are in milliseconds in the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalancerPolicy {
@@ -56,9 +56,10 @@
     pub retry_rate: f64,
     /// Capacity of the bucket of retry tokens.
     pub retry_burst: f64,
-    /// Agents queried for a flow's owner in the first, second and later waves; all
-    /// that are left follow in one last wave. Empty: all at once. The first wave
-    /// should reach the flow's home agent, the next its earlier home agents.
+    /// Number of agents queried for a flow's owner in the first, second and later
+    /// waves; all that are left follow in one last wave. Empty: all at once. The first
+    /// wave should reach the flow's home agent, which balancers query first, and the
+    /// next its earlier home agents.
     #[serde(rename = "waves")]
     pub wave_sizes: Vec<usize>,
     /// Query datagrams sent a second at most, before [`Self::scaled_to_vm`].
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,9 @@
 //! Tunable timeouts, budgets and limits of balancers ([`BalancerPolicy`]) and agents
 //! ([`AgentPolicy`]).
 //!
-//! Every field has a default, so settings name only what differs. `jujubepost
-//! experiment` measures the effect of changing a field or disabling a [`Mechanism`].
+//! Every field has a default; the settings file lists only fields that differ from it.
+//! `jujubepost experiment` measures the effect of changing a field or of disabling a
+//! [`Mechanism`], such as retry limits or exponential backoff.
 
 mod agent;
 mod balancer;
@@ -15,14 +16,14 @@
 pub use balancer::{BalancerPolicy, SuspicionPolicy};
 pub use mechanism::Mechanism;
 
-/// Settings of both roles.
+/// Policy of balancers and agents: `policy` in the settings file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Settings of balancers.
+    /// How balancers place, retry and forward flows, and detect failed agents.
     #[serde(rename = "steer")]
     pub balancer: BalancerPolicy,
-    /// Settings of agents.
+    /// How agents track flows, refuse new ones and probe their targets.
     #[serde(rename = "hold")]
     pub agent: AgentPolicy,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,7 +4,7 @@
 //! The fabric splits a caller's TCP connection into [`Packet`]s and sends each to any
 //! balancer; agents return [`Reply`]s to the fabric directly (direct server return).
 //! Once a flow is accepted, its packets name the [`Owner`], so that any balancer can
-//! forward them without per-flow state and whatever its list of targets.
+//! forward them without per-flow state, even if the owner is not in its target list.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -39,7 +39,8 @@
     pub kind: PacketKind,
     /// Sequence number, as described for each [`PacketKind`].
     pub seq: u32,
-    /// Cumulative acknowledgement: the caller has received every reply below it.
+    /// Cumulative acknowledgement: the caller has received every data and close reply
+    /// with a lower sequence number.
     pub ack: u32,
     /// Agent that accepted the flow, or [`Owner::NONE`].
     pub owner: Owner,
@@ -117,8 +118,9 @@
     Close {
         /// One past the last data reply.
         seq: u32,
-        /// Whether the target closed in order. Otherwise the caller's connection has to
-        /// be reset, so that a truncated answer does not look complete.
+        /// Whether the target closed the connection without an error. Otherwise the
+        /// caller's connection has to be reset, so that a truncated answer does not look
+        /// complete.
         clean: bool,
     },
     /// The flow was refused and the target received nothing of it.
@@ -126,7 +128,7 @@
         /// Complete HTTP response for the caller.
         body: Vec<u8>,
     },
-    /// The agent does not hold the flow.
+    /// The flow is not open at the agent, or the agent ended it.
     Reset,
 }
 
@@ -145,7 +147,8 @@
 }
 
 /// The agent that owns a flow, as IPv4 address, port and nonce. The fabric echoes it in
-/// every later packet, as TCP echoes the server's sequence number.
+/// every later packet, as TCP echoes the server's sequence number. The nonce, random for
+/// each accepted flow, tells flows with the same identifier apart.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display,
 )]
