--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -1,13 +1,17 @@
-//! Stand-in for a target: an HTTP server with the endpoints of one service.
+//! Target stand-in for tests and trials: an HTTP server with the endpoints of one
+//! [`Service`]. A service is what a target runs; a profile is the port and limits under
+//! which callers reach a service.
 //!
-//! - `GET /feed` (meter, calculadora): an endless stream of numbered lines.
+//! - `GET /feed` (services meter and calculadora): an endless stream of numbered lines.
 //! - `POST /pay?id=` (meter) and `POST /check?id=` (validador): non-idempotent requests.
-//! - `GET /quote?w=&id=` (calculadora) and `POST /upload?id=` (fieldlog).
+//! - `GET /quote?w=&id=` (calculadora): a rate that grows with the length of `w`.
+//! - `POST /upload?id=` (fieldlog): stores nothing, and returns the size of the body.
 //! - `GET /runs`: how often each request id was executed.
 //! - `GET /load` and `GET /health`: load report and health check.
 //! - `POST /fault`: replaces the injected [`Faults`].
 //!
-//! Requests above the slot limit get 503 with `Retry-After`, requests that would exceed
+//! Requests above the limit on concurrent requests (`slots`) get 503 with `Retry-After`,
+//! requests that would exceed
 //! their `X-Deadline-Ms` get 504, and paths of another service get 421. Every response
 //! names the target in `X-Target`.
 
@@ -27,12 +31,12 @@
 /// Time between two lines of a feed.
 pub const FEED_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Additional processing time of a request during the cold start.
-const COLD_START_DELAY: Duration = Duration::from_millis(50);
+/// Additional processing time of a request while the target warms up.
+const WARM_UP_DELAY: Duration = Duration::from_millis(50);
 
 /// Response to `GET /load`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests in progress, without feeds.
     #[serde(rename = "busy")]
     pub in_progress: u32,
@@ -61,7 +65,7 @@
 #[derive(Debug, Default)]
 struct State {
     faults: Faults,
-    load: Load,
+    load: LoadReport,
     /// How often each request id was executed.
     executions: HashMap<String, u32>,
 }
@@ -112,11 +116,13 @@
     let path = req.path().to_string();
     if path == "/load" {
         let state = server.lock();
-        let load = if state.faults.false_reports { Load::default() } else { state.load.clone() };
+        let load =
+            if state.faults.false_reports { LoadReport::default() } else { state.load.clone() };
         return server.response(StatusCode::OK).json(&load);
     }
     if path == "/health" {
         let faults = server.lock().faults.clone();
+        // Shedding makes the target unhealthy; false reports invert the result.
         let reports_healthy = faults.shed_all == faults.false_reports;
         let status = if reports_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return server.response(status).finish();
@@ -154,10 +160,11 @@
         state.load.in_progress += 1;
         Duration::from_millis(state.faults.delay_ms)
     };
-    let is_cold = server.started.elapsed() < Duration::from_millis(server.settings.warm_up_ms);
-    let warm_time = Duration::from_millis(server.settings.service_time_ms);
+    let is_warming_up =
+        server.started.elapsed() < Duration::from_millis(server.settings.warm_up_ms);
+    let service_time = Duration::from_millis(server.settings.service_time_ms);
     let processing_time =
-        injected_delay + if is_cold { warm_time + COLD_START_DELAY } else { warm_time };
+        injected_delay + if is_warming_up { service_time + WARM_UP_DELAY } else { service_time };
     let deadline = req
         .headers()
         .get("X-Deadline-Ms")
@@ -211,7 +218,7 @@
     }
 }
 
-/// Runs the target `name` until the process is told to stop; requests in progress are
+/// Runs the stand-in of target `name` until the process is told to stop; requests in progress are
 /// completed first.
 ///
 /// # Errors
