--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -1,5 +1,5 @@
-//! A balancer suspended while the store discards the changes it missed: it lists the
-//! keys again and applies the newest orders.
+//! A balancer suspended while the store compacts the changes that it missed lists the
+//! keys again and applies the current flow limit.
 
 mod common;
 
@@ -7,10 +7,10 @@
 
 use jujubepost::admin;
 use jujubepost::ctl::fleet;
-use jujubepost::script::Action;
 
 #[ntex::test]
 async fn relists_after_compaction() {
+    // Ports from 23,500 on; 2 balancers, 1 meter target, no fieldlog targets.
     let mut site = common::start("compact", 23_500, 2, 1, 0).await;
     let s = site.settings.clone();
     let steps =
@@ -18,10 +18,11 @@
     for step in steps {
         site.apply(&step.parse().unwrap()).await.unwrap();
     }
-    // The suspended balancer's current watch has ended; its next one starts at a
-    // revision that is no longer in the history.
-    "store forget".parse::<Action>().unwrap().apply(&s).await.unwrap();
+    // A watch that was pending when the balancer was suspended may return the first two
+    // changes; the next watch then starts at the last one, which is compacted here.
+    site.apply(&"store forget".parse().unwrap()).await.unwrap();
     site.apply(&"thaw lb-0".parse().unwrap()).await.unwrap();
+    // Until all balancers and agents apply the configuration in the store.
     fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
     let status = admin::fetch_status(addr, Duration::from_secs(1)).await.unwrap();
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -11,7 +11,8 @@
 use jujubepost::up::Signal;
 
 #[ntex::test]
-async fn frozen_agent_returns() {
+async fn suspended_agent_returns() {
+    // Ports from 22,200 on; 2 balancers, 3 meter targets, no fieldlog targets.
     let site = common::start("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
