--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -45,7 +45,7 @@
 pub struct FlowTimeouts {
     /// A flow with no traffic for this long is closed.
     pub idle: Duration,
-    /// Initial retransmission timeout of response data and accepts.
+    /// Initial retransmission timeout of accept, data and close replies.
     pub rto: Duration,
     /// A flow whose response data stays unacknowledged this long is ended.
     pub give_up: Duration,
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -41,7 +41,9 @@
     flows_per_port: HashMap<u16, usize>,
     config: AgentConfig,
     draining_since: Option<Instant>,
+    /// Whether new flows are refused because the agent stops.
     stopping: bool,
+    /// When a connection to the target last failed.
     unreachable_since: Option<Instant>,
     drain_grace: Duration,
     timeouts: FlowTimeouts,
@@ -213,7 +215,7 @@
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
         metrics::count_refusal(reason);
         log::info!(
-            "{} flow {:x} refused, nothing was run: {reason}",
+            "{} flow {:x} refused before execution: {reason}",
             events::AGENT_FLOW_REFUSED,
             p.flow
         );
--- a/src/model/target.rs
+++ b/src/model/target.rs
@@ -44,7 +44,7 @@
 /// Result of a packet at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketResult {
-    /// The target is down or does not hold the flow: the packet goes back.
+    /// The target is down or does not hold the flow: the packet is returned.
     Bounced,
     /// Accepted; nothing to do but to send the replies.
     Accepted,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -34,11 +34,11 @@
     /// `retry_delay`, it keeps the delay constant.
     #[serde(rename = "longest_round", with = "millis")]
     pub max_retry_delay: Duration,
-    /// Agents offered an open in one round while they answer that they are busy.
+    /// Number of agents offered an open in one round while they answer that they are busy.
     /// A larger value multiplies the messages during an overload.
     #[serde(rename = "busy_offers")]
     pub max_busy_offers: usize,
-    /// Agents offered an open in one round, whatever the size of the service.
+    /// Maximum number of agents offered an open in one round.
     #[serde(rename = "most_offers")]
     pub max_offers: usize,
     /// Age from which an open yields to newer ones at a busy target.
@@ -77,9 +77,9 @@
     /// Whether a flow's home agent is notified which other agent owns the flow.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
-    /// Targets that a packet of a flow without a known owner is tried at first. Where
-    /// the owner may not be among the remaining agents, no others are tried, since
-    /// each trial may reach a wrong target.
+    /// Number of targets at which a packet of a flow without a known owner is tried
+    /// first. If the owner may not be among the remaining agents, no others are tried,
+    /// since each trial may reach a wrong target.
     #[serde(rename = "trials")]
     pub max_trials: usize,
     /// How long a silent agent delays trials, because it may own the flow and be
--- a/src/store/lease.rs
+++ b/src/store/lease.rs
@@ -108,6 +108,9 @@
 }
 
 fn record_failure(e: &anyhow::Error) {
-    log::warn!(event = events::AGENT_STORE_UNREACHABLE, error:% = format!("{e:#}"); "store call failed");
+    log::warn!(
+        event = events::AGENT_STORE_UNREACHABLE, error:% = format!("{e:#}");
+        "store call for a lease failed; retrying"
+    );
     metrics::count_retry(Retry::StoreError);
 }
