--- a/src/agent/flow.rs
+++ b/src/agent/flow.rs
@@ -45,7 +45,7 @@
 pub struct FlowTimeouts {
     /// A flow with no traffic for this long is closed.
     pub idle: Duration,
-    /// Initial retransmission timeout of response data and accepts.
+    /// Initial retransmission timeout of accept, data and close replies.
     pub rto: Duration,
     /// A flow whose response data stays unacknowledged this long is ended.
     pub ack: Duration,
@@ -79,8 +79,7 @@
     }
 }
 
-/// Counts one flow in [`WaitingFlows`] while it waits; dropping it ends the
-/// count.
+/// Counts one count in [`WaitingFlows`] while it waits, and no longer once dropped.
 struct WaitingGuard {
     total: WaitingFlows,
     is_waiting: bool,
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -23,10 +23,10 @@
 use crate::settings::{Settings, TargetSettings};
 use crate::wire::{self, Offer, OfferStage, Owner, Packet, PacketKind, Reply, ReplyKind};
 
-/// Pause in new flows after a failed connection to the target.
+/// How long new flows are refused after a failed connection to the target.
 const UNREACHABLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Access to the task of one open flow.
+/// Handle to the task of an open flow.
 struct FlowHandle {
     owner: Owner,
     port: u16,
@@ -41,7 +41,9 @@
     flows_per_port: HashMap<u16, usize>,
     config: AgentConfig,
     draining_since: Option<Instant>,
+    /// Whether new flows are refused because the agent stops.
     stopping: bool,
+    /// When a connection to the target last failed.
     unreachable_since: Option<Instant>,
     drain_grace: Duration,
     timeouts: FlowTimeouts,
@@ -213,7 +215,7 @@
     fn refuse(&mut self, p: &Packet, reason: Refusal) {
         metrics::count_refusal(reason);
         log::info!(
-            "{} flow {:x} refused, nothing was run: {reason}",
+            "{} flow {:x} refused before execution: {reason}",
             events::AGENT_FLOW_REFUSED,
             p.flow
         );
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -16,7 +16,7 @@
 /// Queries a second that a VM with one whole CPU core may send.
 const CORE_QUERY_RATE: f64 = 8_000.0;
 
-/// Settings of a balancer. Durations are in milliseconds in the settings file.
+/// Policy of a balancer. Durations are in milliseconds in the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalancerPolicy {
@@ -34,11 +34,11 @@
     /// `retry_delay`, it keeps the delay constant.
     #[serde(rename = "longest_round", with = "millis")]
     pub max_retry_delay: Duration,
-    /// Agents offered an open in one round while they answer that they are busy.
+    /// Number of agents offered an open in one round while they answer that they are busy.
     /// A larger value multiplies the messages during an overload.
     #[serde(rename = "busy_offers")]
     pub max_busy_offers: usize,
-    /// Agents offered an open in one round, whatever the size of the service.
+    /// Maximum number of agents offered an open in one round.
     #[serde(rename = "most_offers")]
     pub max_offers: usize,
     /// Age from which an open yields to newer ones at a busy target.
@@ -56,9 +56,10 @@
     pub retry_rate: f64,
     /// Capacity of the bucket of retry tokens.
     pub retry_burst: f64,
-    /// Agents queried for a flow's owner in the first, second and later waves; all
-    /// that are left follow in one last wave. Empty: all at once. The first wave
-    /// should reach the flow's home agent, the next its earlier home agents.
+    /// Number of agents queried for a flow's owner in the first, second and later
+    /// waves; all that are left follow in one last wave. Empty: all at once. The first
+    /// wave should reach the flow's home agent, which balancers query first, and the
+    /// next its earlier home agents.
     #[serde(rename = "waves")]
     pub wave_sizes: Vec<usize>,
     /// Query datagrams sent a second at most, before [`Self::scaled_to_vm`].
@@ -76,9 +77,9 @@
     /// Whether a flow's home agent is notified which other agent owns the flow.
     #[serde(rename = "hints")]
     pub hints_enabled: bool,
-    /// Targets that a packet of a flow without a known owner is tried at first. Where
-    /// the owner may not be among the remaining agents, no others are tried, since
-    /// each trial may reach a wrong target.
+    /// Number of targets at which a packet of a flow without a known owner is tried
+    /// first. If the owner may not be among the remaining agents, no others are tried,
+    /// since each trial may reach a wrong target.
     #[serde(rename = "trials")]
     pub max_trials: usize,
     /// How long a silent agent delays trials, because it may own the flow and be
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -1,5 +1,5 @@
-//! A balancer suspended while the store discards the changes it missed: it lists the
-//! keys again and applies the newest configuration.
+//! A balancer suspended while the store compacts the changes that it missed lists the
+//! keys again and applies the current flow limit.
 
 mod common;
 
@@ -11,6 +11,7 @@
 
 #[ntex::test]
 async fn relists_after_compaction() {
+    // Ports from 23,500 on; 2 balancers, 1 meter target, no fieldlog targets.
     let mut site = common::start_site("compact", 23_500, 2, 1, 0).await;
     let s = site.settings.clone();
     let steps =
@@ -18,10 +19,11 @@
     for step in steps {
         site.apply(&step.parse().unwrap()).await.unwrap();
     }
-    // The suspended balancer's current watch has ended; its next one starts at a
-    // compacted revision.
+    // A watch that was pending when the balancer was suspended may return the first two
+    // changes; the next watch then starts at the last one, which is compacted here.
     "store forget".parse::<Action>().unwrap().apply(&s).await.unwrap();
     site.apply(&"thaw lb-0".parse().unwrap()).await.unwrap();
+    // Until all balancers and agents apply the configuration in the store.
     fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
     let status = admin::fetch_status(addr, Duration::from_secs(1)).await.unwrap();
--- a/tests/config_relay.rs
+++ b/tests/config_relay.rs
@@ -281,6 +281,10 @@
     wait_in_force(&trial, 5, &left).await;
     trial.launch(&label).unwrap();
     wait_following(&trial, 5, &all, 4).await;
-    assert_eq!(trial.shut_down().await, Vec::<String>::new(), "processes that did not stop in time");
+    assert_eq!(
+        trial.shut_down().await,
+        Vec::<String>::new(),
+        "processes that did not stop in time"
+    );
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -27,7 +27,11 @@
 }
 
 async fn stop_trial(name: &str, trial: Trial) {
-    assert_eq!(trial.shut_down().await, Vec::<String>::new(), "processes that did not stop in time");
+    assert_eq!(
+        trial.shut_down().await,
+        Vec::<String>::new(),
+        "processes that did not stop in time"
+    );
     let _ = std::fs::remove_dir_all(test_dir(name));
 }
 
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -10,7 +10,8 @@
 use jujubepost::up::Signal;
 
 #[ntex::test]
-async fn frozen_agent_registers_again() {
+async fn suspended_agent_registers_again() {
+    // Ports from 22,200 on; 2 balancers, 3 meter targets, no fieldlog targets.
     let site = common::start_site("lapse", 22200, 2, 3, 0).await;
     let s = site.settings.clone();
     let store = store::Client::new(s.store.addr, Duration::from_secs(2)).await;
