--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -32,7 +32,7 @@
 use crate::wire::{self, Packet};
 use crate::{events, metrics, record};
 
-/// Size of the receive buffer, at least that of the largest UDP datagram.
+/// Size of the receive buffer; no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// How often a stopping agent checks whether all flows have ended.
@@ -58,19 +58,19 @@
     let process_state =
         ProcessState::new(format!("agent-{name}").into(), keys.config_prefix().into());
     let admin_server = admin::Server::start(target.agent_addr, process_state.clone()).await?;
-    let (ended_tx, ended_rx) = mpsc::unbounded_channel();
+    let (flow_end_tx, flow_end_rx) = mpsc::unbounded_channel();
     let agent = Rc::new(RefCell::new(Agent::new(
         target.clone(),
         settings,
         sock,
-        ended_tx,
+        flow_end_tx,
         process_state.clone(),
     )));
-    let (registration, value) = watch::channel(encode_registration(&target, false)?);
+    let (registration_tx, registration_rx) = watch::channel(encode_registration(&target, false)?);
     let key = keys.target(name);
     let (lease_store, lease_ms) = (store.clone(), settings.agent_timers.lease_ttl_ms);
     let lease_task = tokio::task::spawn_local(async move {
-        store::lease::maintain(&lease_store, &key, value, lease_ms, &Notify::new()).await;
+        store::lease::maintain(&lease_store, &key, registration_rx, lease_ms, &Notify::new()).await;
     });
     let source = Source {
         store: store.clone(),
@@ -89,7 +89,7 @@
         target.zone,
         target.agent_addr
     );
-    let mut event_loop = EventLoop::new(agent.clone(), ended_rx);
+    let mut event_loop = EventLoop::new(agent.clone(), flow_end_rx);
     let mut term = signal(SignalKind::terminate())
         .with_context(|| format!("agent {name}: installing the SIGTERM handler"))?;
     let mut int = signal(SignalKind::interrupt())
@@ -99,7 +99,7 @@
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    registration.send_replace(encode_registration(&target, true)?);
+    registration_tx.send_replace(encode_registration(&target, true)?);
     finish_flows(&agent, &mut event_loop, settings).await;
     config_task.abort();
     lease_task.abort();
@@ -131,17 +131,17 @@
 struct EventLoop {
     agent: Rc<RefCell<Agent>>,
     sock: Rc<UdpSocket>,
-    ended: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
+    flow_end_rx: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
     buf: Vec<u8>,
 }
 
 impl EventLoop {
     fn new(
         agent: Rc<RefCell<Agent>>,
-        ended: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
+        flow_end_rx: mpsc::UnboundedReceiver<(u64, flow::FlowEnd)>,
     ) -> Self {
         let sock = agent.borrow().socket();
-        Self { agent, sock, ended, buf: vec![0; MAX_DATAGRAM_BYTES] }
+        Self { agent, sock, flow_end_rx, buf: vec![0; MAX_DATAGRAM_BYTES] }
     }
 
     /// Handles the next packet or ended flow.
@@ -155,7 +155,7 @@
                     self.agent.borrow_mut().handle_packet(p);
                 }
             }
-            Some((flow_id, end)) = self.ended.recv() => {
+            Some((flow_id, end)) = self.flow_end_rx.recv() => {
                 self.agent.borrow_mut().remove_flow(flow_id, end);
             }
         }
@@ -169,12 +169,16 @@
     }
 }
 
-/// Shuts down gracefully: accepts new flows for `drain_grace_ms`, then refuses them
-/// and waits up to `stop_timeout_ms` for the open ones to end.
+/// Shuts down gracefully: still accepts new flows for `drain_grace_ms`, while balancers
+/// learn of the stop, then refuses them and waits up to `stop_timeout_ms` for the open
+/// ones to end.
 async fn finish_flows(agent: &RefCell<Agent>, event_loop: &mut EventLoop, settings: &Settings) {
     let open = agent.borrow().flow_count();
     let name = agent.borrow().target_name();
-    log::info!("{} agent {name} stopping; waiting for {open} open flows", events::AGENT_STOP);
+    log::info!(
+        "{} agent {name} stopping; waiting for {open} open flows to end",
+        events::AGENT_STOP
+    );
     let start = Instant::now();
     let (grace, timeout) =
         (ms(settings.agent_timers.drain_grace_ms), ms(settings.agent_timers.stop_timeout_ms));
--- a/src/model/caller_events.rs
+++ b/src/model/caller_events.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use super::caller::{Caller, CallerState, MAX_RETRIES, OPEN_TIMEOUT, RETRY_DELAY, SYN_RETRANSMITS};
-use super::simulation::{Event, Simulation, Step, vip};
+use super::simulation::{CallerAction, Event, Simulation, vip};
 use super::site::Workload;
 use super::stats::Outcome;
 use crate::flow::Flow;
@@ -48,35 +48,42 @@
         self.callers.insert(addr, caller);
         self.send_to_balancer(zone, &syn, 0);
         for (n, delay) in (1..).zip(SYN_RETRANSMITS) {
-            self.events
-                .push(self.now + delay, Event::CallerStep(addr, generation, Step::RepeatSyn(n)));
+            self.events.push(
+                self.now + delay,
+                Event::CallerTimer(addr, generation, CallerAction::RepeatSyn(n)),
+            );
         }
         let at = (self.now + OPEN_TIMEOUT).min(deadline.max(self.now));
-        self.events.push(at, Event::CallerStep(addr, generation, Step::OpenTimeout));
+        self.events.push(at, Event::CallerTimer(addr, generation, CallerAction::OpenTimeout));
     }
 
-    pub(super) fn run_caller_step(&mut self, addr: SocketAddrV4, generation: u32, step: Step) {
+    pub(super) fn run_caller_step(
+        &mut self,
+        addr: SocketAddrV4,
+        generation: u32,
+        step: CallerAction,
+    ) {
         let Some(c) = self.callers.get_mut(&addr).filter(|c| c.generation == generation) else {
             return;
         };
         match step {
-            Step::RepeatSyn(n) if matches!(c.state, CallerState::Opening(_)) => {
+            CallerAction::RepeatSyn(n) if matches!(c.state, CallerState::Opening(_)) => {
                 c.state = CallerState::Opening(n);
                 let (zone, syn) = (c.zone, c.syn(n));
                 self.send_to_balancer(zone, &syn, 0);
             }
-            Step::OpenTimeout if matches!(c.state, CallerState::Opening(_)) => {
+            CallerAction::OpenTimeout if matches!(c.state, CallerState::Opening(_)) => {
                 self.retry_or_give_up(addr, true)
             }
-            Step::Retransmit => self.retransmit_request(addr),
-            Step::RequestTimeout => self.finish_request(addr, Outcome::Lost),
-            Step::NextRequest => self.next_request(addr),
-            Step::OpenFlow => {
+            CallerAction::Retransmit => self.retransmit_request(addr),
+            CallerAction::RequestTimeout => self.finish_request(addr, Outcome::Lost),
+            CallerAction::NextRequest => self.next_request(addr),
+            CallerAction::OpenFlow => {
                 if let Some(c) = self.callers.remove(&addr) {
                     self.open_flow(c);
                 }
             }
-            Step::RepeatSyn(_) | Step::OpenTimeout => {}
+            CallerAction::RepeatSyn(_) | CallerAction::OpenTimeout => {}
         }
     }
 
@@ -88,7 +95,8 @@
         let rto = c.sender.rto();
         let delay = if c.sender.acked_since(self.now - rto) { rto } else { c.sender.retransmit() };
         let generation = c.generation;
-        self.events.push(self.now + delay, Event::CallerStep(addr, generation, Step::Retransmit));
+        self.events
+            .push(self.now + delay, Event::CallerTimer(addr, generation, CallerAction::Retransmit));
         self.send_request_packets(addr);
     }
 
@@ -124,8 +132,10 @@
         let (generation, deadline) =
             (c.generation, (c.request_start + class.timeout).max(self.now));
         let retransmit_at = self.now + c.sender.rto();
-        self.events.push(retransmit_at, Event::CallerStep(addr, generation, Step::Retransmit));
-        self.events.push(deadline, Event::CallerStep(addr, generation, Step::RequestTimeout));
+        self.events
+            .push(retransmit_at, Event::CallerTimer(addr, generation, CallerAction::Retransmit));
+        self.events
+            .push(deadline, Event::CallerTimer(addr, generation, CallerAction::RequestTimeout));
         self.send_request_packets(addr);
     }
 
@@ -236,7 +246,7 @@
                 if answered {
                     self.events.push(
                         self.now + delay,
-                        Event::CallerStep(addr, generation, Step::NextRequest),
+                        Event::CallerTimer(addr, generation, CallerAction::NextRequest),
                     );
                 } else {
                     self.reopen_after(addr, delay);
@@ -274,6 +284,6 @@
         next.retries = if old.state == CallerState::Idle { 0 } else { old.retries };
         let (addr, generation) = (next.flow.caller, next.generation);
         self.callers.insert(addr, next);
-        self.events.push(at, Event::CallerStep(addr, generation, Step::OpenFlow));
+        self.events.push(at, Event::CallerTimer(addr, generation, CallerAction::OpenFlow));
     }
 }
--- a/src/model/link.rs
+++ b/src/model/link.rs
@@ -26,8 +26,8 @@
         Self { bytes_per_s: mbps * 125_000.0, idle_at: now }
     }
 
-    /// Queues a datagram of `bytes` at `now` and returns when it has been
-    /// transmitted. `None` if the queue is full or the datagram is lost, which
+    /// Queues a datagram of `bytes` at `now` and returns the time at which its
+    /// transmission ends. `None` if the queue is full or the datagram is lost, which
     /// happens with probability `loss`.
     pub fn send(
         &mut self,
--- a/src/model/setup.rs
+++ b/src/model/setup.rs
@@ -10,7 +10,7 @@
 use super::event_queue::EventQueue;
 use super::host::Host;
 use super::simulation::{
-    AGENT_MBPS, Agent, Balancer, Event, PROBE_INTERVAL, REPORT_INTERVAL, Simulation, Step,
+    AGENT_MBPS, Agent, Balancer, CallerAction, Event, PROBE_INTERVAL, REPORT_INTERVAL, Simulation,
     agent_addr, balancer_addr, vip, zone_name,
 };
 use super::site::{RequestClass, Site, Workload};
@@ -94,7 +94,7 @@
                     let caller = self.new_caller(class, zone, at);
                     let addr = caller.flow.caller;
                     self.callers.insert(addr, caller);
-                    self.events.push(at, Event::CallerStep(addr, 0, Step::OpenFlow));
+                    self.events.push(at, Event::CallerTimer(addr, 0, CallerAction::OpenFlow));
                 }
             }
             Workload::OpenLoop { .. } => self.events.push(self.now, Event::Arrival(class)),
--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -50,9 +50,9 @@
 /// complete.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// A simulation event. Unless its variant says otherwise, a `usize` is the index of a
-/// balancer, or of an agent and its target; a `u64` is the incarnation of the process
-/// for which the event was scheduled.
+/// A simulation event. A `usize` is the index of a balancer, or of an agent and its
+/// target; [`Event::Arrival`] has the index of a class. A `u64` is the incarnation of
+/// the process for which the event was scheduled.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A caller's packet arrives at a balancer.
@@ -76,8 +76,9 @@
     RequestDone(usize, Timer),
     /// The retransmission timer of a target's response expires.
     Retransmit(usize, Timer),
-    /// A timer of the caller at an address, with the caller's generation.
-    CallerStep(SocketAddrV4, u32, Step),
+    /// A timer of the caller at an address expires. It is void unless the caller still
+    /// has this generation, which increases with each flow and request.
+    CallerTimer(SocketAddrV4, u32, CallerAction),
     /// The next request of an open-loop class, given by its index, begins.
     Arrival(usize),
     /// A target's report is due.
@@ -86,11 +87,12 @@
     ReadinessProbe,
     /// A balancer reads the store.
     ReadStore(usize, u64),
-    /// A balancer begins a planned stop or, if it has begun one, exits.
+    /// A ready balancer begins a planned stop; one that is already stopping exits.
     StopBalancer(usize, u64),
     /// An agent begins a planned stop.
     StopAgent(usize),
-    /// A stopping agent sends owner hints for its flows and exits.
+    /// A stopping agent tells other agents which agents own the flows it knows of, and
+    /// exits.
     ExitAgent(usize, u64),
     /// A target exits for good.
     RetireTarget(usize),
@@ -102,15 +104,15 @@
     StartAgent(usize),
     /// A target process starts again.
     StartTarget(usize),
-    /// A change of the pattern begins.
+    /// A change listed in the pattern begins.
     BeginChange(Change),
-    /// A change of the pattern ends.
+    /// A change listed in the pattern ends.
     EndChange(Change),
 }
 
 /// What a caller does when one of its timers expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
+pub(super) enum CallerAction {
     /// Repeats its SYN, for the n-th time.
     RepeatSyn(u8),
     /// Gives up opening its flow.
@@ -144,7 +146,7 @@
     pub(super) service: usize,
     pub(super) zone: u8,
     pub(super) target: Target,
-    /// Incarnation of the target that the agent's registration names.
+    /// The target's incarnation as stated in the agent's registration.
     pub(super) registered_incarnation: u64,
     /// A probe of the target's port is in progress.
     pub(super) probing: bool,
@@ -159,14 +161,13 @@
     }
 }
 
-/// Packets of a flow that reached targets other than its own, since the last that
-/// reached its own.
+/// A flow's run of consecutive packets that reached targets other than its own.
 pub(super) struct Misrouted {
     /// When the first of them arrived.
     pub(super) since: Instant,
     pub(super) count: u32,
-    /// Already counted in [`Stats::misrouted`].
-    pub(super) counted: bool,
+    /// Whether the flow is included in [`Stats::misrouted`].
+    pub(super) in_stats: bool,
 }
 
 /// State of one run.
@@ -219,10 +220,10 @@
 /// Second octet of the addresses of agent VMs.
 const AGENT_OCTET: u8 = 1;
 
-/// Address of VM `n` of a role, counted from 10.`role`.`first_octet`.0.
-fn vm_ip(role: u8, first_octet: u8, n: usize) -> Ipv4Addr {
+/// Address of VM `n` of a role, counted from 10.`role`.`third_octet`.0.
+fn vm_ip(role: u8, third_octet: u8, n: usize) -> Ipv4Addr {
     // No site has 65,536 VMs of one role.
-    Ipv4Addr::new(10, role, first_octet + (n >> 8) as u8, (n & 0xff) as u8)
+    Ipv4Addr::new(10, role, third_octet + (n >> 8) as u8, (n & 0xff) as u8)
 }
 
 pub(super) fn balancer_addr(n: usize) -> SocketAddrV4 {
@@ -273,10 +274,11 @@
             Event::PortProbed(n, incarnation) => self.finish_port_probe(n, incarnation),
             Event::RequestDone(n, timer) => self.finish_execution(n, timer),
             Event::Retransmit(n, timer) => self.retransmit_response(n, timer),
-            Event::CallerStep(addr, generation, step) => {
+            Event::CallerTimer(addr, generation, step) => {
                 self.run_caller_step(addr, generation, step)
             }
             Event::Arrival(class) => self.next_arrival(class),
+            // Store, readiness, process lifecycle and changes of the pattern.
             other => self.handle_site_event(other),
         }
     }
@@ -342,6 +344,7 @@
         }
         for bytes in &mut packets {
             if let Ok(seg) = packet::decode(bytes) {
+                // Clears the flag of a packet that the target returned unprocessed.
                 let clear_bounced = packet::clear_bounced;
                 a.tracker.handle_target_packet(&seg, bytes, self.now, &mut out, clear_bounced);
             }
--- a/src/model/target_events.rs
+++ b/src/model/target_events.rs
@@ -58,13 +58,13 @@
             let misrouted = self.misrouted.entry(flow).or_insert(Misrouted {
                 since: now,
                 count: 0,
-                counted: false,
+                in_stats: false,
             });
             misrouted.count += 1;
             let long_enough = now.duration_since(misrouted.since) >= MISROUTED_TIME;
             if misrouted.count >= MISROUTED_PACKETS && long_enough {
-                self.stats.misrouted += u32::from(!misrouted.counted);
-                misrouted.counted = true;
+                self.stats.misrouted += u32::from(!misrouted.in_stats);
+                misrouted.in_stats = true;
             }
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,7 +20,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How balancers place, retry and forward flows, and detect failed agents.
+    /// How balancers choose targets for flows, retry and forward, and detect failed
+    /// agents.
     #[serde(rename = "steer")]
     pub balancer: BalancerPolicy,
     /// How agents track flows, refuse new ones and probe their targets.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,8 +1,8 @@
-//! HTTP client of the key-value service.
+//! HTTP client of the key-value store.
 //!
-//! Every error names the operation with its key, and the service's address. A
+//! Every error names the operation with its key, and the store's address. A
 //! write whose response is lost returns an error although it may have taken
-//! effect; code that must know reads the key back.
+//! effect; callers that depend on the outcome read the key back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 };
 use super::{Change, Kv, prefix_end};
 
-/// Time limit of a watch call; above the server's longest wait.
+/// Time limit of a watch call; above the store's longest wait.
 const WATCH_TIMEOUT_MS: u64 = 15_000;
 
 /// Result of one watch call.
@@ -29,13 +29,13 @@
 pub struct WatchBatch {
     /// The store's revision when it responded; watch again from `rev + 1`.
     pub rev: i64,
-    /// The requested revision is older than the kept history: list again.
+    /// The requested revision has been compacted: list again.
     pub compacted: bool,
     /// Changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// Client of a key-value service.
+/// Client of a key-value store.
 #[derive(Clone)]
 pub struct Client {
     http: ntex::client::Client,
@@ -44,21 +44,21 @@
 }
 
 impl Client {
-    /// Creates a client of the service at `addr`. Calls other than
+    /// Creates a client of the store at `addr`. Calls other than
     /// [`Client::watch`] time out after `timeout`.
     pub async fn new(addr: SocketAddr, timeout: Duration) -> Self {
         let http = ntex::client::Client::new().await;
         Self { http, addr, timeout }
     }
 
-    /// The service's address.
+    /// The store's address.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Error context of a response that cannot be decoded.
-    fn decoding(&self, operation: &str) -> String {
+    /// Error text for a response that cannot be decoded.
+    fn decode_error(&self, operation: &str) -> String {
         format!("{operation} at store {}: decoding response", self.addr)
     }
 
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the service is unreachable, slow past the timeout or down.
+    /// Fails when the store is unreachable, exceeds the timeout or returns an error.
     pub async fn list(&self, prefix: &str) -> anyhow::Result<(i64, Vec<Kv>)> {
         let req =
             RangeRequest { key: B64.encode(prefix), range_end: B64.encode(prefix_end(prefix)) };
@@ -113,7 +113,7 @@
             .iter()
             .map(decode_kv)
             .collect::<anyhow::Result<_>>()
-            .with_context(|| self.decoding(&operation))?;
+            .with_context(|| self.decode_error(&operation))?;
         Ok((res.header.revision, kvs))
     }
 
@@ -126,7 +126,7 @@
         let req = RangeRequest { key: B64.encode(key), range_end: String::new() };
         let operation = format!("get {key}");
         let res: RangeResponse = self.call("/v3/kv/range", &req, self.timeout, &operation).await?;
-        res.kvs.first().map(decode_kv).transpose().with_context(|| self.decoding(&operation))
+        res.kvs.first().map(decode_kv).transpose().with_context(|| self.decode_error(&operation))
     }
 
     /// Writes one key under `lease` (0 for none).
@@ -211,27 +211,27 @@
         Ok(res.result.ttl)
     }
 
-    /// Waits for changes under `prefix` from revision `from` on; returns none
-    /// when the service's wait ends without any.
+    /// Waits for changes under `prefix` from revision `start_rev` on; returns none
+    /// when the store's wait ends without any.
     ///
     /// # Errors
     ///
     /// As [`Client::list`].
-    pub async fn watch(&self, prefix: &str, from: i64) -> anyhow::Result<WatchBatch> {
+    pub async fn watch(&self, prefix: &str, start_rev: i64) -> anyhow::Result<WatchBatch> {
         let req = WatchRequest {
             create_request: WatchCreate {
                 key: B64.encode(prefix),
                 range_end: B64.encode(prefix_end(prefix)),
-                start_revision: from,
+                start_revision: start_rev,
             },
         };
-        let operation = format!("watch {prefix} from {from}");
+        let operation = format!("watch {prefix} from {start_rev}");
         let timeout = Duration::from_millis(WATCH_TIMEOUT_MS);
         let res: WatchResponse = self.call("/v3/watch", &req, timeout, &operation).await?;
         let r = res.result;
         let mut changes = Vec::with_capacity(r.events.len());
         for ev in &r.events {
-            let kv = decode_kv(&ev.kv).with_context(|| self.decoding(&operation))?;
+            let kv = decode_kv(&ev.kv).with_context(|| self.decode_error(&operation))?;
             changes.push(if ev.kind == "DELETE" {
                 Change::Delete { key: kv.key, rev: kv.rev }
             } else {
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,7 +1,7 @@
 //! A mirror: a local snapshot of every key under a prefix, kept current by a watch.
 //!
-//! While the service fails, the snapshot keeps its last contents and calls are
-//! retried; a watch that fell behind the kept history is replaced by a new
+//! While the store fails, the snapshot keeps its last contents and calls are
+//! retried; a watch whose start revision was compacted is replaced by a new
 //! listing. The revision never decreases. A process that starts during an
 //! outage fetches the newest snapshot of its peers.
 
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// As [`WatchStore::list`].
-    pub async fn list<K: WatchStore>(store: &K, prefix: &str) -> anyhow::Result<Self> {
+    pub async fn list<S: WatchStore>(store: &S, prefix: &str) -> anyhow::Result<Self> {
         let (rev, kvs) = store.list(prefix).await?;
         let keys = kvs.into_iter().map(|kv| (kv.key.clone(), kv)).collect();
         Ok(Self { rev, keys })
@@ -70,8 +70,8 @@
     }
 
     /// Whether a change of `key` at `rev` is at least as new as its entry. A
-    /// listing may contain entries newer than its revision; the watch from that
-    /// revision then returns older changes, which must not be applied.
+    /// listing may contain entries newer than the snapshot's revision; a watch from
+    /// the snapshot's revision then returns older changes, which must not be applied.
     fn accepts(&self, key: &str, rev: i64) -> bool {
         self.keys.get(key).is_none_or(|kv| kv.rev <= rev)
     }
@@ -105,11 +105,11 @@
     }
 }
 
-/// What a mirror holds, and from where.
+/// Where a mirror reads, and how.
 #[derive(Clone)]
-pub struct Source<K> {
-    /// The key-value service.
-    pub store: K,
+pub struct Source<S> {
+    /// The key-value store.
+    pub store: S,
     /// Prefix of the mirrored keys.
     pub prefix: String,
     /// Processes whose own snapshots include this prefix.
@@ -128,11 +128,11 @@
 /// When a mirror fetches the snapshots of its peers after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFallback {
-    /// Only while it has no snapshot. For code that takes a missing registration
-    /// as a dead process: a peer's newer snapshot may lack registrations whose
+    /// Only while it has no snapshot. For callers that treat a process without
+    /// registration as dead: a peer's newer snapshot may lack registrations whose
     /// leases expired in the outage.
     WhenEmpty,
-    /// After every failure. For code that probes processes themselves.
+    /// After every failure. For callers that detect dead processes by probing them.
     Always,
 }
 
@@ -141,9 +141,9 @@
 pub enum MirrorEvent<'a> {
     /// The snapshot changed.
     Updated(&'a Snapshot),
-    /// A call to the service failed and is retried after a pause.
+    /// A call to the store failed and is retried after a pause.
     StoreFailed(&'a anyhow::Error),
-    /// The service responded for the first time since the start, a failure or
+    /// The store responded for the first time since the start, a failure or
     /// [`Source::refresh`].
     Recovered,
 }
@@ -154,10 +154,10 @@
 /// `choose_prefix` may return a narrower prefix that is enough to watch for the
 /// given snapshot. When it returns `None` again, everything is listed anew, as changes
 /// outside the narrower prefix were missed.
-pub async fn follow<K, S, F>(source: &Source<K>, choose_prefix: S, mut on_event: F)
+pub async fn follow<S, P, F>(source: &Source<S>, choose_prefix: P, mut on_event: F)
 where
-    K: WatchStore,
-    S: Fn(&Snapshot) -> Option<&'static str>,
+    S: WatchStore,
+    P: Fn(&Snapshot) -> Option<&'static str>,
     F: FnMut(MirrorEvent<'_>),
 {
     let mut snapshot = Snapshot::default();
@@ -168,14 +168,14 @@
         let previous = std::mem::replace(&mut narrow_prefix, choose_prefix(&snapshot));
         needs_list |= previous.is_some() && narrow_prefix.is_none();
         // While recovering, calls do not wait for changes, so that the first response
-        // shows at once that the service works.
+        // shows at once that the store works.
         let outcome = tokio::select! {
             biased;
             () = source.refresh.notified() => {
                 recovering = true;
                 continue;
             }
-            outcome = read(source, needs_list, narrow_prefix, &mut snapshot, !recovering) => outcome,
+            outcome = list_or_watch(source, needs_list, narrow_prefix, &mut snapshot, !recovering) => outcome,
         };
         if outcome.is_ok() && recovering {
             recovering = false;
@@ -216,8 +216,9 @@
     Compacted,
 }
 
-async fn read<K: WatchStore>(
-    source: &Source<K>,
+/// Lists all keys if `needs_list`, else watches for changes.
+async fn list_or_watch<S: WatchStore>(
+    source: &Source<S>,
     needs_list: bool,
     narrow_prefix: Option<&str>,
     snapshot: &mut Snapshot,
@@ -230,8 +231,8 @@
     }
 }
 
-async fn relist<K: WatchStore>(
-    source: &Source<K>,
+async fn relist<S: WatchStore>(
+    source: &Source<S>,
     snapshot: &mut Snapshot,
 ) -> anyhow::Result<ReadOutcome> {
     let listed = Snapshot::list(&source.store, &source.prefix).await?;
@@ -242,14 +243,14 @@
             snapshot.rev
         );
     }
-    // A snapshot kept by a narrower watch may lack keys even at the same revision.
+    // A snapshot updated only by a narrower watch may lack keys even at the same revision.
     let changed = snapshot.rev == 0 || listed != *snapshot;
     *snapshot = listed;
     Ok(if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged })
 }
 
-async fn watch<K: WatchStore>(
-    source: &Source<K>,
+async fn watch<S: WatchStore>(
+    source: &Source<S>,
     narrow_prefix: Option<&str>,
     snapshot: &mut Snapshot,
     wait: bool,
@@ -266,7 +267,7 @@
 
 /// Replaces the snapshot by the newest one of the peers; returns whether any was
 /// newer. All peers are queried at once, so that unresponsive ones add no delay.
-async fn update_from_peers<K>(source: &Source<K>, snapshot: &mut Snapshot) -> bool {
+async fn update_from_peers<S>(source: &Source<S>, snapshot: &mut Snapshot) -> bool {
     let fetches = source.peers.iter().map(|addr| fetch_peer_snapshot(*addr));
     let snapshots = futures_util::future::join_all(fetches).await;
     let mut updated = false;
--- a/src/target/mod.rs
+++ b/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! Target stand-in for tests and trials: an HTTP server with the endpoints of one
+//! Target stand-in for tests and benchmarks: an HTTP server with the endpoints of one
 //! [`Service`]. A service is what a target runs; a profile is the port and limits under
 //! which callers reach a service.
 //!
@@ -11,9 +11,8 @@
 //! - `POST /fault`: replaces the injected [`Faults`].
 //!
 //! Requests above the limit on concurrent requests (`slots`) get 503 with `Retry-After`,
-//! requests that would exceed
-//! their `X-Deadline-Ms` get 504, and paths of another service get 421. Every response
-//! names the target in `X-Target`.
+//! requests that would exceed their `X-Deadline-Ms` get 504, and paths of another
+//! service get 421. Every response names the target in `X-Target`.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -53,7 +52,8 @@
     /// Additional processing time of each request, in milliseconds.
     #[serde(rename = "slow_ms")]
     pub delay_ms: u64,
-    /// Sheds every request.
+    /// Answers the service's requests, except feeds, with 503 and `Retry-After`, and makes
+    /// the target unhealthy.
     #[serde(rename = "shed")]
     pub shed_all: bool,
     /// `GET /health` reports the opposite of the actual health, and `GET /load` reports
@@ -62,24 +62,25 @@
     pub false_reports: bool,
 }
 
+/// Injected faults and counters of a target.
 #[derive(Debug, Default)]
-struct State {
+struct TargetState {
     faults: Faults,
     load: LoadReport,
     /// How often each request id was executed.
     executions: HashMap<String, u32>,
 }
 
-/// State of the server, shared by all its requests.
+/// What all request handlers share.
 #[derive(Clone)]
 struct Server {
     settings: TargetSettings,
     started: Instant,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<TargetState>>,
 }
 
 impl Server {
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, TargetState> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
@@ -122,7 +123,7 @@
     }
     if path == "/health" {
         let faults = server.lock().faults.clone();
-        // Shedding makes the target unhealthy; false reports invert the result.
+        // Healthy with neither fault, or with both: then a false report hides the shedding.
         let reports_healthy = faults.shed_all == faults.false_reports;
         let status = if reports_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return server.response(status).finish();
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Wire format of the packets between fabric, balancers and agents: one
-//! `postcard`-encoded UDP datagram per packet.
+//! Wire format of packets and replies between fabric, balancers and agents: one
+//! `postcard`-encoded UDP datagram each.
 //!
 //! The fabric splits a caller's TCP connection into [`Packet`]s and sends each to any
 //! balancer; agents return [`Reply`]s to the fabric directly (direct server return).
@@ -35,7 +35,7 @@
     pub flow: u64,
     /// Port that the caller connected to; selects the profile.
     pub port: u16,
-    /// Type of the packet.
+    /// What the packet does to the flow.
     pub kind: PacketKind,
     /// Sequence number, as described for each [`PacketKind`].
     pub seq: u32,
@@ -47,7 +47,7 @@
     /// Address that the agent sends its replies to.
     #[serde(rename = "reply")]
     pub reply_to: SocketAddr,
-    /// For an open, the agents that the balancer chose to offer it to.
+    /// In an [`PacketKind::Open`], the agents that the balancer chose as candidates.
     pub offer: Option<Offer>,
     /// Caller data.
     pub body: Vec<u8>,
@@ -60,7 +60,7 @@
     pub first: SocketAddrV4,
     /// The other candidate, if there is one.
     pub second: Option<SocketAddrV4>,
-    /// Progress of the offer.
+    /// Which agent decides next, and how.
     pub stage: OfferStage,
 }
 
@@ -81,10 +81,10 @@
     }
 }
 
-/// Progress of an [`Offer`].
+/// Which agent decides next on an [`Offer`], and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OfferStage {
-    /// The first agent accepts the flow if it can.
+    /// The first agent accepts the flow if it can, without comparing loads.
     #[serde(rename = "Take")]
     Assign,
     /// The first agent accepts the flow, or passes it to the second one to compare loads.
@@ -95,7 +95,7 @@
         /// Load of the first agent; `u32::MAX` if it cannot accept the flow.
         load: u32,
     },
-    /// Back at the first agent, which accepts the flow if it can.
+    /// The second agent left the flow to the first, which accepts it if it can.
     Last,
 }
 
@@ -121,7 +121,7 @@
         /// One past the last data reply.
         seq: u32,
         /// Whether the target closed the connection without an error. Otherwise the
-        /// caller's connection has to be reset, so that a truncated answer does not look
+        /// caller's connection has to be reset, so that a truncated response does not look
         /// complete.
         clean: bool,
     },
@@ -143,7 +143,7 @@
     pub port: u16,
     /// Agent that sends it.
     pub owner: Owner,
-    /// Type and content.
+    /// What the agent reports or sends.
     #[serde(rename = "answer")]
     pub kind: ReplyKind,
 }
--- a/tests/compaction.rs
+++ b/tests/compaction.rs
@@ -19,11 +19,11 @@
     for step in steps {
         site.apply(&step.parse().unwrap()).await.unwrap();
     }
-    // A watch that was pending when the balancer was suspended may return the first two
-    // changes; the next watch then starts at the last one, which is compacted here.
+    // Compact again: a watch that was pending when the balancer was suspended may still
+    // return the first two changes, and the next watch must find the third compacted.
     "store forget".parse::<Action>().unwrap().apply(&s).await.unwrap();
     site.apply(&"thaw lb-0".parse().unwrap()).await.unwrap();
-    // Until all balancers and agents apply the configuration in the store.
+    // Wait until all balancers and agents apply the configuration in the store.
     fleet::wait_in_force(&s, Duration::from_secs(5)).await.unwrap();
     let addr = s.balancer("lb-0").unwrap().addr;
     let status = admin::fetch_status(addr, Duration::from_secs(1)).await.unwrap();
--- a/tests/lease_lapse.rs
+++ b/tests/lease_lapse.rs
@@ -20,16 +20,16 @@
     // Longer than the lease of 1 s in the test site.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_none());
-    let during = Load { feeds: 0, requests: 30, secs: 1, ..Load::default() };
-    let rows = bench::measure(&s, &during).await;
+    let load_while_suspended = Load { feeds: 0, requests: 30, secs: 1, ..Load::default() };
+    let rows = bench::measure(&s, &load_while_suspended).await;
     let meter = rows.iter().find(|r| r.profile == "meter").unwrap();
     assert_eq!(meter.ok, 30, "{meter:?}");
     assert_eq!(meter.served.get("meter-1"), None, "{meter:?}");
     site.send_signal("agent-meter-1", Signal::SIGCONT);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert!(store.get(&keys.target("meter-1")).await.unwrap().is_some());
-    let after = Load { feeds: 0, requests: 60, secs: 1, ..Load::default() };
-    let rows = bench::measure(&s, &after).await;
+    let load_after_resume = Load { feeds: 0, requests: 60, secs: 1, ..Load::default() };
+    let rows = bench::measure(&s, &load_after_resume).await;
     let meter = rows.iter().find(|r| r.profile == "meter").unwrap();
     assert_eq!(meter.ok, 60, "{meter:?}");
     assert!(meter.served.get("meter-1").is_some_and(|&n| n > 0), "{meter:?}");
