--- a/src/model/simulation.rs
+++ b/src/model/simulation.rs
@@ -274,11 +274,11 @@
             Event::PortProbed(n, incarnation) => self.finish_port_probe(n, incarnation),
             Event::RequestDone(n, timer) => self.finish_execution(n, timer),
             Event::Retransmit(n, timer) => self.retransmit_response(n, timer),
-            Event::CallerTimer(addr, generation, step) => {
-                self.run_caller_step(addr, generation, step)
+            Event::CallerTimer(addr, generation, action) => {
+                self.run_caller_step(addr, generation, action)
             }
             Event::Arrival(class) => self.next_arrival(class),
-            // Store, readiness, process lifecycle and changes of the pattern.
+            // Target reports, store reads, readiness, process lifecycle, pattern changes.
             other => self.handle_site_event(other),
         }
     }
